--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,6 +1,9 @@
-//! All decisions; the types, events, actions and settings are in `src/interface.rs`.
-//! Unread requests wait here and leave in earliest-deadline order by predicted slack; the nearly late go to
-//! priority readers; the hopeless are refused unread. What was read goes at once to a writer.
+//! The decisions of the router. Its types, events, actions and settings are defined in `src/interface.rs`.
+//!
+//! Requests that have not been read yet wait in this router's queue. They leave earliest deadline
+//! first, by their slack: the time from the predicted first token to the first-token target. Requests
+//! that are nearly late are sent to priority readers. Requests that cannot be answered in time are
+//! refused before they are read. As soon as a prompt has been read, its request is sent to a writer.
 
 use crate::interface::*;
 use crate::numeric::*;
@@ -8,69 +11,133 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-// Time is in microseconds unless a name ends in _S. The first ones are the design's.
-const PRIORITY_EVERY: usize = 3; // every so many readers, by sorted id, one serves priority
-const READER_CAP: usize = 4; // own reads out at one reader; keeps the order here, where it can still change
-const OFFLOAD_MARGIN_S: f64 = 0.1; // slack beyond a full priority batch at which a request is nearly late
-const SHARE_EQUAL: f64 = 0.1; // memory share within which writers count as equal
-const SHARE_FAR: f64 = 0.2; // lead in memory share at which locality yields
-const FIRST_GUESS: [f64; 3] = [0.2, 0.1, 0.0]; // read estimate before there are answers
-const FIT_AFTER: u32 = 10; // answers before the fit replaces the first guess
-const AGE_S: f64 = 10.0; // over which answers age in every fit and mean kept here
-const KEPT: Micros = 60_000_000; // how long a reader is taken to keep a session's prompt
-const SHARE_FULL: f64 = 0.92; // of writer memory that is read for; past it answers push each other out
-const SURGE: f64 = 4.0; // what may come of all that the tenants' shares tell, with those who come again
-const CHANCE: f64 = 2.0; // standard deviations by which what is out here may by chance pass what others have
-const REPORT_LIFE: Micros = 3_000_000; // after which a load report says nothing any more
-const PROBES: usize = 2; // writers that are probed for a request that waits for one
-const PROBE_WAIT: Micros = 50_000; // how long a probe is waited for
-const PROBE_PAUSE: Micros = 1_000_000; // least time between two probes of one server
-const OVERDUE: [f64; 2] = [4.0, 8.0]; // times what was expected at which an answer, or a read, is overdue
-const OVERDUE_S: f64 = 0.5; // and than this
-const CALLED_OFF_PART: f64 = 0.1; // reads called off as overdue for each read and answer that ended well
-const REFUSED_MOST: u32 = 3; // dials refused in a row that tell of a zone as one unheard: a table may be full
-const RESTART_TOLD: Micros = 6_000_000; // by when the list tells of a restart (protocol)
-const UNHEARD_S: f64 = 0.1; // after which a dial was unheard, not refused: a no takes a few round trips
-const BACK_OFF: Micros = 500_000; // first time a failing server is left alone; doubles
-const BACK_OFF_MOST: Micros = 4_000_000; // and longest
-const ERROR_STEP: f64 = 0.35; // what an error adds of the rest to a server's error share
-const SUCCESS_STEP: f64 = 0.2; // what a success takes of it
-const ERROR_MOST: f64 = 0.4; // where it is left out: errors come quickly and would draw all the work
-const PROMPTS: u32 = 200; // last ones by whose mean a call's work is weighed
-const RATE_S: f64 = 1.0; // least span by which it is told how often requests come
-const SHARE_BURST_S: f64 = 1.0; // of its rate that a tenant may run ahead before it is past its share
-const MEAN_STEP: f64 = 0.1; // weight of a new answer in a running mean
-const READ_AHEAD_S: f64 = 1.0; // of reading that may wait at one reader, where it can't be reordered
-const WAITING_CAP: usize = 3; // own answers not yet begun at one writer at which it has no room
-const WAITING_S: f64 = 0.3; // how long the oldest has waited when it has none
-const AWAY_S: f64 = 0.05; // by which a reader of another zone must be sooner: its moves are slow and cost
-const PREFIXES: usize = 40; // last requests by which it is told how many bring the same prefix
-const WAIT_STEP: f64 = 0.3; // weight of a read's wait in its zone's mean
-const WAIT_FADE_S: f64 = 4.0; // over which one not heard of again fades
-const RETRY_AFTER: Micros = 500_000; // until a refused client comes back: so long a queue needs to shrink
-const LOOKS: usize = 8; // queued requests weighed anew at an event: all would cost queue times servers
-const REPEAT_MARGIN: Micros = 200_000; // before its window's end a repeat is called off: 0.15 s for a hold-up
-const TICK: Micros = 20_000; // how often open requests are looked at
-
-/// What a writer is to answer from.
+// Durations are in microseconds, or in seconds where the name of the constant ends in `_S`.
+
+/// One reader in this many, in the order of the server ids, is a priority reader.
+const PRIORITY_READER_INTERVAL: usize = 3;
+/// Maximum number of this router's reads in flight at one reader. All other
+/// requests stay in this router's queue, where their order can still change.
+const MAX_READS_PER_READER: usize = 4;
+/// A request is nearly late if its slack is less than the time
+/// of a full priority batch plus this margin, in seconds.
+const OFFLOAD_MARGIN_S: f64 = 0.1;
+/// Writers whose memory shares differ by no more than this count as equally loaded.
+const EQUAL_SHARE_MARGIN: f64 = 0.1;
+/// Nearby writers are preferred unless their memory share
+/// exceeds the lowest share of all writers by more than this.
+const MAX_LOCALITY_SHARE_LEAD: f64 = 0.2;
+/// Weights of the read-time model before enough reads have been measured:
+/// constant, linear and quadratic, in seconds over thousands of uncached tokens.
+const INITIAL_READ_WEIGHTS: [f64; 3] = [0.2, 0.1, 0.0];
+/// Number of measured reads after which the read-time model uses them instead of the initial weights.
+const MIN_MODEL_SAMPLES: u32 = 10;
+/// Time constant, in seconds, with which older samples lose weight in the
+/// read-time model, in the error shares and in the mean of the tokens in progress.
+const DECAY_TIME_S: f64 = 10.0;
+/// Time for which a reader is assumed to keep a prompt in its cache.
+const PROMPT_CACHE_LIFETIME: Micros = 60_000_000;
+/// Share of a writer's memory that reads may be started for. Above this share, answers evict each other.
+const MAX_MEMORY_SHARE: f64 = 0.92;
+/// Maximum arrival rate of the fleet as a multiple of the rate that
+/// it is configured for. The rate includes clients that try again.
+const MAX_ARRIVAL_FACTOR: f64 = 4.0;
+/// Standard deviations by which the tokens of this router may exceed those of another router by chance.
+const CHANCE_DEVIATIONS: f64 = 2.0;
+/// Age at which a load report is no longer used.
+const LOAD_REPORT_LIFETIME: Micros = 3_000_000;
+/// Number of writers that are probed for a request that waits for a writer.
+const PROBED_WRITERS: usize = 2;
+/// Time that a request waits for the answer to a probe.
+const PROBE_TIMEOUT: Micros = 50_000;
+/// Minimum time between two probes of the same server.
+const MIN_PROBE_INTERVAL: Micros = 1_000_000;
+/// An answer (first) or a read (second) is overdue after this multiple of its expected duration.
+const OVERDUE_FACTORS: [f64; 2] = [4.0, 8.0];
+/// Minimum age, in seconds, of an overdue attempt. A server that
+/// has had no successful answer for longer counts as silent.
+const MIN_OVERDUE_S: f64 = 0.5;
+/// Number of reads that may be cancelled as overdue for each read or answer that ended well.
+const CANCELLATIONS_PER_SUCCESS: f64 = 0.1;
+/// Number of refused connections in a row that count against a zone as much as one connection
+/// timeout. A single refusal may just mean that the connection table of the server is full.
+const MAX_ZONE_REFUSALS: u32 = 3;
+/// Maximum time until the roster lists the restart of a server. The discovery protocol guarantees it.
+const RESTART_ANNOUNCEMENT_DELAY: Micros = 6_000_000;
+/// A failed dial that took longer than this, in seconds,
+/// counts as a timeout. A refusal takes a few round trips.
+const MAX_REFUSAL_S: f64 = 0.1;
+/// First pause after a server has failed. The pause doubles with each further failure.
+const INITIAL_BACKOFF: Micros = 500_000;
+/// Maximum pause after a server has failed.
+const MAX_BACKOFF: Micros = 4_000_000;
+/// Weight of an error in the error share of a server.
+const ERROR_WEIGHT: f64 = 0.35;
+/// Weight of a success in the error share of a server.
+const SUCCESS_WEIGHT: f64 = 0.2;
+/// Error share from which a server gets no ordinary work. Errors are answered
+/// quickly, so that a failing server would otherwise attract all requests.
+const MAX_ERROR_SHARE: f64 = 0.4;
+/// Number of last prompts whose mean length is the unit in which the work of a call is measured.
+const MEAN_PROMPT_SAMPLES: u32 = 200;
+/// Minimum period, in seconds, over which the arrival rate is measured.
+const MIN_RATE_PERIOD_S: f64 = 1.0;
+/// Seconds of its rate by which a tenant may run ahead before it is over its quota.
+const TENANT_BURST_S: f64 = 1.0;
+/// Weight of a new answer in the running mean of the first-token time.
+const FIRST_TOKEN_WEIGHT: f64 = 0.1;
+/// Seconds of reading that this router may queue at one reader, where the order can no longer change.
+const MAX_READ_AHEAD_S: f64 = 1.0;
+/// Number of this router's attempts without a first token from which a writer counts as busy.
+const MAX_UNANSWERED_PER_WRITER: usize = 3;
+/// Age in seconds of the oldest attempt without a first token from which a writer counts as busy.
+const MAX_UNANSWERED_AGE_S: f64 = 0.3;
+/// Seconds by which a read in another zone must be faster than one in this
+/// router's zone. Moving a state between zones is slow and costs money.
+const OTHER_ZONE_PENALTY_S: f64 = 0.05;
+/// Number of last requests from which the share of requests with the same prefix is computed.
+const RECENT_PREFIXES: usize = 40;
+/// Weight of a new sample in the mean queue wait of a peer group.
+const QUEUE_WAIT_WEIGHT: f64 = 0.3;
+/// Time constant, in seconds, with which the mean queue wait
+/// of a peer group decays while there is no new sample.
+const QUEUE_WAIT_DECAY_S: f64 = 4.0;
+/// Delay after which a refused client should try again. A queue needs this time to shrink.
+const RETRY_AFTER: Micros = 500_000;
+/// Number of queued requests that are evaluated again at each event. Evaluating
+/// all of them would cost the length of the queue times the number of servers.
+const MAX_EVALUATED_REQUESTS: usize = 8;
+/// A repeat is cancelled this long before the end of its window.
+/// Of this time, 150 ms allow for a process that is held up.
+const REPEAT_MARGIN: Micros = 200_000;
+/// Interval at which the open requests are checked.
+const CHECK_INTERVAL: Micros = 20_000;
+
+/// The input from which a writer makes its answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Source {
-    /// The prompt: it reads that itself.
+enum WriterInput {
+    /// The prompt, which the server reads itself.
     Prompt,
-    /// The state that this reader holds, and since when.
+    /// The state that this reader holds, and the time since which it has been held.
     State(ServerId, Micros),
-    /// A state that was let go in case the attempt had not arrived; if it had, the writer has it.
+    /// A state that was released while the attempt was in flight. If the
+    /// attempt had already arrived, the writer has fetched the state.
     ReleasedState,
 }
 
-/// Where a request stands; held: whose state, and since when that waits.
+/// The progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
+    /// The request waits in this router's queue.
     Queued,
+    /// A reader reads the prompt.
     Reading,
+    /// This reader holds the state, since this time, and the request waits for a writer.
     Held(ServerId, Micros),
-    Writing(Source),
+    /// The request was sent to a writer, which has not begun its answer.
+    Writing(WriterInput),
+    /// The answer began at this time.
     Streaming(Micros),
+    /// The request has its final answer, or its client has left.
     Ended,
 }
 
@@ -78,946 +145,1176 @@
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     server: ServerId,
-    sent: Micros,
-    reading: bool,
+    sent_at: Micros,
+    /// True for an attempt at a reader, false for one at a writer or at a server that reads and writes.
+    is_read: bool,
     expected_s: f64,
-    read: Read,
-    out: bool,
+    read_estimate: ReadEstimate,
+    in_flight: bool,
     cancelled: bool,
+    /// True if a writer may have run the request.
     may_have_run: bool,
 }
 
-/// What a read is predicted to take at one reader.
+/// The predicted duration of a read at one reader.
 #[derive(Clone, Copy, Debug)]
-struct Read {
+struct ReadEstimate {
     server: ServerId,
+    /// Index of the reader in the order of preference of the request.
     rank: usize,
+    /// Time that the tokens of the read add to the queue of the reader.
     work_s: f64,
-    behind_s: f64,
+    /// Time for which the read waits for the work that this router has in flight at the reader.
+    queued_s: f64,
     total_s: f64,
 }
 
+/// A request that is open, or whose attempts are still in flight.
 #[derive(Debug)]
 struct Request {
-    ask: Arrival,
-    settings: Rc<Settings>, // those under which it came hold for it to its end
-    session_lot: u64,
-    prefix_lot: u64,
-    lot: u64,     // by session and length, so that a next try draws the same
-    own_lot: u64, // by its id too
-    came: Micros,
-    expires: Micros,
-    aim: Micros,
-    hopeless: Micros,
-    over_share: bool,
-    best: (Micros, f64), // the shortest read that was predicted for it, and when: never at 0
+    arrival: Arrival,
+    /// The settings at the request's arrival. They apply to the request until it has ended.
+    settings: Rc<Settings>,
+    session_hash: u64,
+    prefix_hash: u64,
+    /// Hash of the session and the prompt length, so that a repeated try of the client gets the same hash.
+    retry_hash: u64,
+    /// Hash of the session, the prompt length and the request's id.
+    request_hash: u64,
+    arrived_at: Micros,
+    expires_at: Micros,
+    /// Time at which the first-token target is missed.
+    target_at: Micros,
+    /// Time after which a first token is useless: the client or the class no longer waits for it.
+    infeasible_after: Micros,
+    over_tenant_quota: bool,
+    /// Time of the last prediction of the shortest read (0 if
+    /// there was none yet), and that read's duration in seconds.
+    shortest_read: (Micros, f64),
     phase: Phase,
     attempts: Vec<Attempt>,
 }
 
 impl Request {
+    /// Returns the request's class under the settings at its arrival.
     fn class(&self) -> &Class {
-        self.settings.class(self.ask.class)
+        self.settings.class(self.arrival.class)
     }
 
-    /// The first attempt that may have run.
-    fn ran(&self) -> Option<&Attempt> {
+    /// Returns the first attempt that may have run.
+    fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| a.may_have_run)
     }
 
-    /// When a repeat must have been written, if that matters.
+    /// Returns the time by which a repeat must have been written, if the
+    /// class has a window for repeats and an earlier attempt may have run.
     fn repeat_before(&self) -> Option<Micros> {
         let Effect::Keyed { window, .. } = self.class().effect else { return None };
-        self.ran().map(|ran| ran.sent + window)
+        self.first_possible_run().map(|first_run| first_run.sent_at + window)
     }
 
-    /// Whether it is too late for a repeat, if that matters.
-    fn is_window_over(&self, now: Micros) -> bool {
+    /// Returns true if a repeat sent now may arrive after
+    /// the end of the window in which servers drop repeats.
+    fn is_repeat_window_over(&self, now: Micros) -> bool {
         self.repeat_before().is_some_and(|end| end <= now + REPEAT_MARGIN)
     }
 
-    /// Whether a repeat is out that may not have arrived as the window ends in which servers recognise it.
-    /// Over a connection that has fallen silent it would come after that.
-    fn outlives_window(&self, now: Micros) -> bool {
+    /// Returns true if a repeat in flight must be cancelled, because it may arrive after the end of
+    /// the window in which servers recognise it. That happens on a connection that has fallen
+    /// silent: the repeat arrives when the server can be reached again, and would run a second time.
+    fn is_repeat_expiring(&self, now: Micros) -> bool {
         let Some((last, earlier)) = self.attempts.split_last() else { return false };
-        let repeats = !last.reading && earlier.iter().any(|attempt| attempt.may_have_run);
-        last.out && !last.cancelled && repeats && self.is_window_over(now) && self.settings.may_cancel
-    }
-
-    /// Whether no further attempt can be made.
-    fn is_spent(&self, now: Micros) -> bool {
-        let unsafe_run = self.ran().is_some() && self.class().effect == Effect::Unsafe;
-        self.is_window_over(now) || unsafe_run || self.attempts.len() >= self.settings.max_attempts as usize
+        let is_repeat = !last.is_read && earlier.iter().any(|attempt| attempt.may_have_run);
+        last.in_flight
+            && !last.cancelled
+            && is_repeat
+            && self.is_repeat_window_over(now)
+            && self.settings.may_cancel
+    }
+
+    /// Returns true if no further attempt is allowed: the window for repeats is over, a request
+    /// with side effects may have run, or the maximum number of attempts has been made.
+    fn attempts_exhausted(&self, now: Micros) -> bool {
+        let unsafe_run = self.first_possible_run().is_some() && self.class().effect == Effect::Unsafe;
+        self.is_repeat_window_over(now)
+            || unsafe_run
+            || self.attempts.len() >= self.settings.max_attempts as usize
     }
 }
 
-/// A break after which a server may have been started again, which the list tells seconds later.
+/// The failure of a connection to a server. The server may
+/// have restarted, which the roster lists seconds later.
 #[derive(Debug)]
-struct Break {
+struct ConnectionBreak {
     at: Micros,
-    answered: Option<Micros>, // the first answer to what was sent after it
+    /// Time of the first answer to a request that was sent after the break.
+    first_answer_at: Option<Micros>,
 }
 
-/// What this router knows of one server.
+/// The information that this router has about one server.
 #[derive(Debug, Default)]
 struct Server {
-    learnt: Micros, // when it was first listed, or its last start
+    /// Time at which the server, or its last start, was first listed.
+    known_since: Micros,
     entry: Entry,
     role: Role,
-    memory: f64,
-    share: Option<(Micros, f64)>,
-    probed: Micros,
+    memory_tokens: f64,
+    /// Time of the last load report, and the memory share in it.
+    reported_share: Option<(Micros, f64)>,
+    last_probe: Micros,
     backoff: Backoff,
-    broke: Option<Break>,
-    sent: SlidingSum, // lately, in calls of mean work
-    heard: Micros,    // when it last answered well
-    errors: Fading,   // the share of errors among its late answers
+    last_break: Option<ConnectionBreak>,
+    /// Recent sends to the server, in calls of mean work.
+    recent_sends: SlidingSum,
+    /// Time of the last successful answer.
+    last_success: Micros,
+    /// Share of errors among the recent answers.
+    error_share: Fading,
 }
 
-/// What this router has out at one server.
+/// The requests that this router has in flight at one server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Out {
+struct InFlight {
     reads: usize,
+    /// Predicted time of all reads in flight, in seconds.
     backlog_s: f64,
     attempts: usize,
-    waiting: usize,
-    oldest_s: f64,
-    oldest_ratio: f64,
+    /// Number of attempts that have no first token yet and are not cancelled.
+    unanswered: usize,
+    /// Age of the oldest unanswered attempt, in seconds.
+    max_age_s: f64,
+    /// Maximum of age divided by expected duration over the unanswered attempts.
+    max_age_ratio: f64,
+    /// Tokens that the requests hold in the server's memory.
     tokens: f64,
 }
 
-/// One router's decisions.
+/// Decides for one gateway where its requests are sent, and when they are repeated, cancelled or refused.
 #[derive(Debug, Default)]
 pub struct Router {
     settings: Rc<Settings>,
     replicas: f64,
     servers: BTreeMap<ServerId, Server>,
     requests: BTreeMap<RequestId, Request>,
-    fit: QuadraticFit, // read time by thousands of uncached tokens
+    /// Time of a read in seconds by thousands of uncached tokens.
+    read_time: QuadraticFit,
+    /// Mean time from a send to a writer to its first token, in seconds.
     first_token_s: f64,
-    tenants: Vec<LeakyBucket>,
-    kept: BTreeMap<(u64, ServerId), (f64, Micros)>, // by lot and reader it was sent: tokens, and when
-    prefixes: VecDeque<(u64, Micros)>,              // lots of the last requests' prefixes, and when
-    waits: BTreeMap<(u32, bool), Fading>,           // by zone, cold or not: what reads lately waited
-    zones: BTreeMap<u32, (Backoff, u32)>, // with dials unheard, or refused so often, since one answered
-    called_off: f64, // reads, as overdue, less a part of what ended well: a jam feeds on what is read again
-    ticking: bool,
-    watching: bool,
-    most: [[f64; 2]; 2], // servers, and zones with any, that were ready at once: writers, and readers
-    mean_prompt: RunningMean, // tokens
-    under_way: AgedMean, // tokens of requests under way
-    now: Micros,         // the call in hand: its time, what is out, what is to be done
-    outs: BTreeMap<ServerId, Out>,
+    tenant_buckets: Vec<LeakyBucket>,
+    /// Tokens assumed to be cached, and the time of the read, by session or prefix hash and reader.
+    cached_tokens: BTreeMap<(u64, ServerId), (f64, Micros)>,
+    /// Prefix hashes and arrival times of the last requests, the latest first.
+    recent_prefixes: VecDeque<(u64, Micros)>,
+    /// Mean queue wait of recent reads, by peer group: the zone, and whether the readers are in slow start.
+    queue_waits: BTreeMap<(u32, bool), Fading>,
+    /// Pause of each zone, and the number of failed connections to the zone
+    /// since its last answer. A connection timeout counts as several refusals.
+    zone_failures: BTreeMap<u32, (Backoff, u32)>,
+    /// Number of reads cancelled as overdue, less a fraction of the attempts that ended
+    /// well. Each cancelled read is read again elsewhere, which would feed congestion.
+    cancelled_reads: f64,
+    is_timer_set: bool,
+    is_roster_requested: bool,
+    /// Maximum numbers of servers, and of zones with at least one server,
+    /// that were ready at once: first of writers, then of readers.
+    max_ready: [[f64; 2]; 2],
+    /// Mean prompt length in tokens.
+    mean_prompt: RunningMean,
+    /// Mean of the sum of tokens of all requests that are being read or written.
+    tokens_in_progress: AgedMean,
+    /// Time of the current call of `handle`.
+    now: Micros,
+    /// Requests in flight at each server at the time of the current call.
+    in_flight: BTreeMap<ServerId, InFlight>,
+    /// Actions that the current call of `handle` returns.
     actions: Vec<Action>,
-    over_quota: Vec<(RequestId, ServerId)>, // sends beyond a quota of slow start: there must be none
+    /// Sends beyond the quota of a server in slow start. An invariant of the router is that there are none.
+    sends_over_quota: Vec<(RequestId, ServerId)>,
 }
 
 impl Router {
-    /// A router that knows nothing yet but its settings; those without a class or a kind are refused.
+    /// Creates a router that knows only its settings. Settings
+    /// without a class or without a server kind are refused.
     pub fn new(settings: Settings, _seed: u64) -> Result<Self, SettingsError> {
         if settings.classes.is_empty() || settings.roles.is_empty() {
             return Err(SettingsError("no request class or no kind".into()));
         }
         Ok(Self {
             replicas: f64::from(settings.replicas.max(1)),
-            fit: QuadraticFit::new(FIRST_GUESS, FIT_AFTER),
-            first_token_s: 0.1, // from a send to a writer to its first token, before there are answers
-            tenants: vec![LeakyBucket::default(); settings.tenant_rates.len()],
+            read_time: QuadraticFit::new(INITIAL_READ_WEIGHTS, MIN_MODEL_SAMPLES),
+            first_token_s: 0.1, // initial estimate, until the first answers have been measured
+            tenant_buckets: vec![LeakyBucket::default(); settings.tenant_rates.len()],
             settings: Rc::new(settings),
             ..Self::default()
         })
     }
 
-    /// Settings for what comes from now on; those that a new router would refuse change nothing.
-    fn take_settings(&mut self, settings: &Settings) {
+    /// Applies new settings to all requests that arrive from now
+    /// on. Settings that [`Router::new`] would refuse are ignored.
+    fn apply_settings(&mut self, settings: &Settings) {
         if let Ok(new) = Self::new(settings.clone(), 0) {
-            self.tenants.resize(new.tenants.len(), LeakyBucket::default());
+            self.tenant_buckets.resize(new.tenant_buckets.len(), LeakyBucket::default());
             (self.replicas, self.settings) = (new.replicas, new.settings);
         }
     }
 
-    /// Takes what happened at `now` and tells what to do.
+    /// Processes the events that happened until `now` and returns the actions to carry out.
     pub fn handle(&mut self, now: Micros, events: &[Event]) -> Vec<Action> {
         self.now = now.max(self.now);
         for event in events {
             match event {
-                Event::Roster { form, entries } => self.take_roster(*form, entries),
-                Event::Request(ask) => self.take_request(ask),
-                Event::First { id, attempt } => self.take_first(id, *attempt),
-                Event::Outcome(outcome) => self.take_outcome(outcome),
-                Event::Abandoned { id } => self.end(id, None),
-                Event::Probed { server, load } => self.take_load(*server, load),
-                Event::LivedOn { server, since } => self.live_on(*server, *since),
-                Event::Settings(settings) => self.take_settings(settings),
-                Event::Leaving { within } => self.leave(*within),
-                Event::Timer { token } => self.ticking &= *token != 0,
+                Event::Roster { form, entries } => self.apply_roster(*form, entries),
+                Event::Request(arrival) => self.add_request(arrival),
+                Event::First { id, attempt } => self.record_first_token(id, *attempt),
+                Event::Outcome(outcome) => self.record_outcome(outcome),
+                Event::Abandoned { id } => self.end_request(id, None),
+                Event::Probed { server, load } => self.record_load(*server, load),
+                Event::LivedOn { server, since } => self.record_running_since(*server, *since),
+                Event::Settings(settings) => self.apply_settings(settings),
+                Event::Leaving { within } => self.shorten_deadlines(*within),
+                Event::Timer { token } => self.is_timer_set &= *token != 0,
             }
         }
-        if self.settings.ask_roster && !std::mem::replace(&mut self.watching, true) {
+        if self.settings.ask_roster && !std::mem::replace(&mut self.is_roster_requested, true) {
             self.actions.push(Action::Watch);
         }
-        self.count_out();
-        self.sweep();
-        self.place_held();
-        self.release_queued();
-        self.kept.retain(|_, kept| now < kept.1 + KEPT);
-        self.requests.retain(|_, r| r.phase != Phase::Ended || r.attempts.iter().any(|a| a.out));
-        let tried = |id| self.requests.values().flat_map(|r| &r.attempts).any(|a| a.server == id);
-        self.servers.retain(|id, s| s.entry.condition != Condition::Gone || tried(*id));
-        if !self.requests.is_empty() && !std::mem::replace(&mut self.ticking, true) {
-            self.actions.push(Action::Timer { token: 0, after: TICK });
+        self.count_in_flight();
+        self.check_open_requests();
+        self.send_held();
+        self.send_queued();
+        self.cached_tokens.retain(|_, entry| now < entry.1 + PROMPT_CACHE_LIFETIME);
+        self.requests.retain(|_, r| r.phase != Phase::Ended || r.attempts.iter().any(|a| a.in_flight));
+        let is_in_use = |id| self.requests.values().flat_map(|r| &r.attempts).any(|a| a.server == id);
+        self.servers.retain(|id, s| s.entry.condition != Condition::Gone || is_in_use(*id));
+        if !self.requests.is_empty() && !std::mem::replace(&mut self.is_timer_set, true) {
+            self.actions.push(Action::Timer { token: 0, after: CHECK_INTERVAL });
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn take_request(&mut self, ask: &Arrival) {
-        let class = self.settings.class(ask.class);
-        let grown = (ask.prompt_tokens / 1000.0 * class.aim_per_1000 as f64) as Micros;
-        let session_lot = number(ask.session.as_deref().unwrap_or(&ask.id.0));
-        let prefix_lot = ask.prefix.as_deref().map_or(session_lot, number);
-        self.prefixes.push_front((prefix_lot, self.now));
-        self.prefixes.truncate(PREFIXES);
-        let lot = mix(session_lot, ask.prompt_tokens as u64);
+    /// Adds an arrived request to the queue, with its deadlines
+    /// and the hashes by which routers agree on servers.
+    fn add_request(&mut self, arrival: &Arrival) {
+        let class = self.settings.class(arrival.class);
+        let length_allowance = (arrival.prompt_tokens / 1000.0 * class.aim_per_1000 as f64) as Micros;
+        let session_hash = number(arrival.session.as_deref().unwrap_or(&arrival.id.0));
+        let prefix_hash = arrival.prefix.as_deref().map_or(session_hash, number);
+        self.recent_prefixes.push_front((prefix_hash, self.now));
+        self.recent_prefixes.truncate(RECENT_PREFIXES);
+        let retry_hash = mix(session_hash, arrival.prompt_tokens as u64);
         let request = Request {
-            session_lot,
-            prefix_lot,
-            lot,
-            own_lot: mix(lot, number(&ask.id.0)),
-            expires: self.now + ask.expires_in,
-            came: self.now,
-            aim: self.now + class.aim + grown,
-            hopeless: self.now + ask.expires_in.min(class.deadline + 2 * grown),
+            session_hash,
+            prefix_hash,
+            retry_hash,
+            request_hash: mix(retry_hash, number(&arrival.id.0)),
+            expires_at: self.now + arrival.expires_in,
+            arrived_at: self.now,
+            target_at: self.now + class.aim + length_allowance,
+            infeasible_after: self.now + arrival.expires_in.min(class.deadline + 2 * length_allowance),
             settings: self.settings.clone(),
-            // What was counted at its first try is not counted again: a break brings many back at once.
-            over_share: !ask.resumed && self.over_share(ask.tenant),
-            best: (0, 0.0),
+            // A resumed request was counted at its first try. It is not counted again,
+            // because the loss of many connections at once brings many clients back at once.
+            over_tenant_quota: !arrival.resumed && self.charge_tenant(arrival.tenant),
+            shortest_read: (0, 0.0),
             phase: Phase::Queued,
             attempts: Vec::new(),
-            ask: ask.clone(),
+            arrival: arrival.clone(),
         };
-        self.mean_prompt.learn(ask.prompt_tokens, PROMPTS);
-        self.requests.insert(ask.id.clone(), request);
+        self.mean_prompt.learn(arrival.prompt_tokens, MEAN_PROMPT_SAMPLES);
+        self.requests.insert(arrival.id.clone(), request);
     }
 
-    /// Counts a tenant's request against this router's part of its share, as a leaking bucket.
-    fn over_share(&mut self, tenant: usize) -> bool {
-        let part = self.settings.tenant_rates.get(tenant).map_or(0.0, |rate| rate / self.replicas);
-        part > 0.0 && self.tenants[tenant].add(self.now, part) > (part * SHARE_BURST_S).max(2.0)
+    /// Counts a request of the tenant in the leaky bucket for this router's
+    /// part of the tenant's rate. Returns true if the tenant is over its quota.
+    fn charge_tenant(&mut self, tenant: usize) -> bool {
+        let own_rate = self.settings.tenant_rates.get(tenant).map_or(0.0, |rate| rate / self.replicas);
+        own_rate > 0.0
+            && self.tenant_buckets[tenant].add(self.now, own_rate) > (own_rate * TENANT_BURST_S).max(2.0)
     }
 
-    /// Whether a refusal would be true: nothing that may have run can be repeated with harm.
+    /// Returns true if the request may be refused. A refusal
+    /// promises that repeating the request does no harm.
     fn may_refuse(&self, request: &Request) -> bool {
-        let clean = request.attempts.iter().all(|a| !a.may_have_run && !a.out);
-        clean || matches!(request.class().effect, Effect::Safe | Effect::Keyed { group: Group::All, .. })
+        let never_ran = request.attempts.iter().all(|a| !a.may_have_run && !a.in_flight);
+        never_ran || matches!(request.class().effect, Effect::Safe | Effect::Keyed { group: Group::All, .. })
     }
 
-    /// Whether its class allows the request at the server, after what earlier attempts may have done.
+    /// Returns true if the request's class allows an attempt
+    /// at the server after earlier attempts that may have run.
     fn may_send(&self, request: &Request, to: ServerId) -> bool {
-        match (request.ran(), request.class().effect) {
+        match (request.first_possible_run(), request.class().effect) {
             (None, _) | (_, Effect::Safe) => true,
             (_, Effect::Unsafe) => false,
-            (Some(ran), Effect::Keyed { group, .. }) => {
-                let (a, b) = (&self.servers[&ran.server].entry, &self.servers[&to].entry);
-                let near = a.zone == b.zone && (group == Group::Zone || a.cell == b.cell);
-                (group == Group::All || near) && !request.is_spent(self.now)
+            (Some(first_run), Effect::Keyed { group, .. }) => {
+                let (ran_at, target) = (&self.servers[&first_run.server].entry, &self.servers[&to].entry);
+                let same_group =
+                    ran_at.zone == target.zone && (group == Group::Zone || ran_at.cell == target.cell);
+                (group == Group::All || same_group) && !request.attempts_exhausted(self.now)
             }
         }
     }
 
-    /// Ends a request: the answer if one is owed, nothing left out, nothing left held.
-    fn end(&mut self, id: &RequestId, answer: Option<Action>) {
+    /// Ends a request: sends the answer, if there is one, cancels its attempts and releases its state.
+    fn end_request(&mut self, id: &RequestId, answer: Option<Action>) {
         let Some(request) = self.requests.get_mut(id).filter(|r| r.phase != Phase::Ended) else { return };
         request.phase = Phase::Ended;
-        let sent = !request.attempts.is_empty();
+        let was_sent = !request.attempts.is_empty();
         self.actions.extend(answer);
-        self.recall(id);
-        if sent {
+        self.cancel_attempts(id);
+        if was_sent {
             self.actions.push(Action::Release { id: id.clone() });
         }
     }
 
-    /// Calls off what is out.
-    fn recall(&mut self, id: &RequestId) {
+    /// Cancels all attempts of the request that are in flight, if the settings allow cancelling.
+    fn cancel_attempts(&mut self, id: &RequestId) {
         let Some(Request { attempts, settings, .. }) = self.requests.get_mut(id) else { return };
         for (n, attempt) in (0..).zip(attempts) {
-            if attempt.out && !attempt.cancelled && settings.may_cancel {
+            if attempt.in_flight && !attempt.cancelled && settings.may_cancel {
                 attempt.cancelled = true;
                 self.actions.push(Action::Cancel { id: id.clone(), attempt: n });
             }
         }
     }
 
+    /// Ends a request without a server's answer: refuses it if a repeat does no harm, and fails it otherwise.
     fn give_up(&mut self, id: &RequestId, reason: GiveUpReason) {
         let request = &self.requests[id];
-        let safe = request.class().effect == Effect::Safe;
-        let time_left = request.expires > self.now + TICK;
-        if !safe && request.phase == Phase::Reading && time_left && request.settings.may_cancel {
-            // With a read out even a refusal may be held untrue: call it off, answer when it has ended.
-            return self.recall(id);
+        let is_safe = request.class().effect == Effect::Safe;
+        let has_time = request.expires_at > self.now + CHECK_INTERVAL;
+        if !is_safe && request.phase == Phase::Reading && has_time && request.settings.may_cancel {
+            // While a read is in flight, a refusal would not be provably true. The read
+            // is cancelled first, and the request is answered when the read has ended.
+            return self.cancel_attempts(id);
         }
         let (id, refuse) = (id.clone(), self.may_refuse(request));
         let refusal = Action::Refuse { id: id.clone(), reason, retry_after: RETRY_AFTER };
         let answer = if refuse { refusal } else { Action::Fail { id: id.clone(), reason } };
-        self.end(&id, Some(answer));
+        self.end_request(&id, Some(answer));
     }
 
-    /// What is open has no more time than the router: it is answered, and what it holds let go, before that.
-    fn leave(&mut self, within: Micros) {
+    /// Limits the deadlines of all open requests to the time left before this router
+    /// shuts down, so that each is answered and its state released before then.
+    fn shorten_deadlines(&mut self, within: Micros) {
         for request in self.requests.values_mut() {
-            request.expires = request.expires.min(self.now + within);
-            request.hopeless = request.hopeless.min(request.expires);
+            request.expires_at = request.expires_at.min(self.now + within);
+            request.infeasible_after = request.infeasible_after.min(request.expires_at);
         }
     }
 
-    /// Looks at every open request: time up, state held too long, attempt overdue.
-    fn sweep(&mut self) {
-        let soon = self.now + 2 * TICK + 2 * self.settings.resolution;
-        for id in self.ids(|r| !matches!(r.phase, Phase::Ended | Phase::Streaming(_))) {
+    /// Checks every open request: gives it up at its deadline or when no attempt is
+    /// left, releases a state that has been held too long, and cancels overdue attempts.
+    fn check_open_requests(&mut self) {
+        let soon = self.now + 2 * CHECK_INTERVAL + 2 * self.settings.resolution;
+        for id in self.request_ids(|r| !matches!(r.phase, Phase::Ended | Phase::Streaming(_))) {
             let request = &self.requests[&id];
             match request.phase {
-                _ if request.expires <= soon => self.give_up(&id, GiveUpReason::DeadlineReached),
-                Phase::Queued | Phase::Held(..) if request.is_spent(self.now) => {
+                _ if request.expires_at <= soon => self.give_up(&id, GiveUpReason::DeadlineReached),
+                Phase::Queued | Phase::Held(..) if request.attempts_exhausted(self.now) => {
                     self.give_up(&id, GiveUpReason::AttemptsSpent);
                 }
-                Phase::Held(_, at) if at + request.settings.let_go <= soon => {
+                Phase::Held(_, since) if since + request.settings.let_go <= soon => {
                     self.set_phase(&id, Phase::Queued)
                 }
-                Phase::Writing(_) if request.outlives_window(self.now) => self.recall(&id),
-                Phase::Writing(Source::State(_, at)) if at + request.settings.let_go <= soon => {
-                    self.release_under_way(&id);
+                Phase::Writing(_) if request.is_repeat_expiring(self.now) => self.cancel_attempts(&id),
+                Phase::Writing(WriterInput::State(_, since)) if since + request.settings.let_go <= soon => {
+                    self.release_while_writing(&id);
                 }
-                Phase::Reading | Phase::Writing(_) => self.recall_overdue(&id),
+                Phase::Reading | Phase::Writing(_) => self.cancel_if_overdue(&id),
                 _ => {}
             }
         }
     }
 
-    /// Lets go of a state whose time is over with a send to a writer out: over a connection that has fallen
-    /// silent that never arrives. What an attempt waits for that has arrived is not let go by that.
-    fn release_under_way(&mut self, id: &RequestId) {
+    /// Releases a state whose hold time is over while an attempt at a writer is in
+    /// flight. On a connection that has fallen silent, that attempt may never arrive.
+    /// If the attempt has arrived, the release does not take the state away from it.
+    fn release_while_writing(&mut self, id: &RequestId) {
         self.actions.push(Action::Release { id: id.clone() });
-        self.set_phase(id, Phase::Writing(Source::ReleasedState));
+        self.set_phase(id, Phase::Writing(WriterInput::ReleasedState));
     }
 
-    fn ids(&self, which: impl Fn(&Request) -> bool) -> Vec<RequestId> {
-        let found = self.requests.iter().filter(|(_, r)| which(r));
+    /// Returns the ids of the requests that match the condition, in the order of the ids.
+    fn request_ids(&self, matches: impl Fn(&Request) -> bool) -> Vec<RequestId> {
+        let found = self.requests.iter().filter(|(_, r)| matches(r));
         found.map(|(id, _)| id.clone()).collect()
     }
 
+    /// Sets the phase of a request. A request that returns to the queue has its state released.
     fn set_phase(&mut self, id: &RequestId, phase: Phase) {
         if phase == Phase::Queued {
-            // A read whose answer was lost, or a reader cut off from the writer, may still hold a state.
+            // A reader may still hold a state, if its answer was
+            // lost or if the writer could not reach the reader.
             self.actions.push(Action::Release { id: id.clone() });
         }
         self.requests.entry(id.clone()).and_modify(|r| r.phase = phase);
     }
 
-    /// A silent server keeps what it was given: call an overdue attempt off where another may be made.
-    fn recall_overdue(&mut self, id: &RequestId) {
+    /// Cancels the last attempt of a request if the attempt is overdue and another server may take the
+    /// request. A server that has fallen silent would otherwise keep the request until its deadline.
+    fn cancel_if_overdue(&mut self, id: &RequestId) {
         let request = &self.requests[id];
-        let attempt @ Attempt { server, reading, .. } = request.attempts[request.attempts.len() - 1];
-        let harmless = if reading { self.called_off < 1.0 } else { request.class().effect == Effect::Safe };
-        let left = request.attempts.len() + usize::from(reading) < request.settings.max_attempts as usize;
-        let wait_s = self.wait_s(server) * f64::from(u8::from(reading));
-        let late = OVERDUE_S.max(OVERDUE[usize::from(reading)] * (attempt.expected_s + wait_s));
-        let may = attempt.out && !attempt.cancelled && harmless && request.settings.may_cancel;
-        let overdue = seconds(self.now - attempt.sent) >= late && left;
-        let silent = self.is_silent(server);
-        // One that answers others has a queue: that is worth leaving only for a server without.
-        let better = |s: &ServerId| *s != server && (silent || reading || self.has_room(*s));
-        if may && overdue && self.well(reading).iter().any(better) {
-            if silent {
-                self.fail_server(server, 0);
+        let attempt @ Attempt { server, is_read, .. } = request.attempts[request.attempts.len() - 1];
+        let is_harmless =
+            if is_read { self.cancelled_reads < 1.0 } else { request.class().effect == Effect::Safe };
+        let has_attempts_left =
+            request.attempts.len() + usize::from(is_read) < request.settings.max_attempts as usize;
+        let wait_s = self.expected_wait_s(server) * f64::from(u8::from(is_read));
+        let overdue_s =
+            MIN_OVERDUE_S.max(OVERDUE_FACTORS[usize::from(is_read)] * (attempt.expected_s + wait_s));
+        let may_cancel =
+            attempt.in_flight && !attempt.cancelled && is_harmless && request.settings.may_cancel;
+        let is_overdue = seconds(self.now - attempt.sent_at) >= overdue_s && has_attempts_left;
+        let is_silent = self.is_silent(server);
+        // A writer that answers other requests just has a queue.
+        // Its request moves only to a writer without a queue.
+        let is_better = |s: &ServerId| *s != server && (is_silent || is_read || self.has_room(*s));
+        if may_cancel && is_overdue && self.healthy_servers(is_read).iter().any(is_better) {
+            if is_silent {
+                self.record_failure(server, 0);
             }
-            self.called_off += f64::from(u8::from(reading));
-            self.recall(id);
+            self.cancelled_reads += f64::from(u8::from(is_read));
+            self.cancel_attempts(id);
         }
     }
 
-    fn take_first(&mut self, id: &RequestId, n: u32) {
+    /// Records the first token of an answer, and updates the mean first-token time.
+    fn record_first_token(&mut self, id: &RequestId, index: u32) {
         let Some(request) = self.requests.get_mut(id).filter(|r| r.phase != Phase::Ended) else { return };
-        let Some(attempt) = request.attempts.get(n as usize).filter(|a| a.out) else { return };
+        let Some(attempt) = request.attempts.get(index as usize).filter(|a| a.in_flight) else {
+            return;
+        };
         request.phase = Phase::Streaming(self.now);
-        let (server, sent, took) = (attempt.server, attempt.sent, seconds(self.now - attempt.sent));
-        self.first_token_s += MEAN_STEP * (took - self.first_token_s);
-        self.hear(server, sent);
+        let (server, sent_at, duration_s) =
+            (attempt.server, attempt.sent_at, seconds(self.now - attempt.sent_at));
+        self.first_token_s += FIRST_TOKEN_WEIGHT * (duration_s - self.first_token_s);
+        self.record_success(server, sent_at);
     }
 
-    fn take_outcome(&mut self, outcome: &Outcome) {
+    /// Records how an attempt ended, and decides on the next step of its request: end it, wait for a writer,
+    /// or return to the queue. Updates the read-time model, the queue waits and the failures of the server.
+    fn record_outcome(&mut self, outcome: &Outcome) {
         let &Outcome { ref id, attempt, status, finished, note, load } = outcome;
         let Some(request) = self.requests.get_mut(id) else { return };
-        let Some(attempt) = request.attempts.get_mut(attempt as usize).filter(|a| a.out) else { return };
-        attempt.out = false;
-        let unread = attempt.reading && matches!(status, Status::Cancelled | Status::TimedOut);
+        let Some(attempt) = request.attempts.get_mut(attempt as usize).filter(|a| a.in_flight) else {
+            return;
+        };
+        attempt.in_flight = false;
+        let waited_in_vain = attempt.is_read && matches!(status, Status::Cancelled | Status::TimedOut);
         use Status::{Full, Moot, NoConnection, Read};
         attempt.may_have_run &= !matches!(status, Full | Moot | NoConnection | Read);
-        let (server, behind_s, sent) = (attempt.server, attempt.read.behind_s, attempt.sent);
-        let took = seconds(self.now - sent);
-        let unheard = status == NoConnection && took > UNHEARD_S;
-        let refusals = if unheard { REFUSED_MOST } else { u32::from(status == NoConnection) };
-        let (phase, session_lot) = (request.phase, request.session_lot);
-        let uncached = (request.ask.prompt_tokens - note).max(0.0) / 1000.0;
-        self.take_load(server, &load);
-        // A queue is told, or shows: in how much longer a read took, in what was turned away, in vain waits.
-        let seen = match status {
-            Status::Read => Some((took - self.fit.predict(uncached) - behind_s).max(0.0)),
-            Full if note < 1.0 => Some(READ_AHEAD_S),
-            _ => unread.then_some(took),
+        let (server, queued_s, sent_at) = (attempt.server, attempt.read_estimate.queued_s, attempt.sent_at);
+        let duration_s = seconds(self.now - sent_at);
+        let dial_timed_out = status == NoConnection && duration_s > MAX_REFUSAL_S;
+        let refusals = if dial_timed_out { MAX_ZONE_REFUSALS } else { u32::from(status == NoConnection) };
+        let (phase, session_hash) = (request.phase, request.session_hash);
+        let uncached = (request.arrival.prompt_tokens - note).max(0.0) / 1000.0;
+        self.record_load(server, &load);
+        // The wait in a reader's queue is computed from its load report, if there
+        // is one. Otherwise the wait shows in a read that took longer than
+        // predicted, in a rejected read, or in a read that ended without an answer.
+        let observed_wait_s = match status {
+            Status::Read => Some((duration_s - self.read_time.predict(uncached) - queued_s).max(0.0)),
+            Full if note < 1.0 => Some(MAX_READ_AHEAD_S),
+            _ => waited_in_vain.then_some(duration_s),
         };
-        let slope = (self.fit.predict(1.0) - self.fit.weights()[0]).max(0.001);
-        let waited = load.queued_kilotokens.map(|k| k * slope).or(seen);
+        let s_per_1000 = (self.read_time.predict(1.0) - self.read_time.weights()[0]).max(0.001);
+        let wait_s = load.queued_kilotokens.map(|tokens| tokens * s_per_1000).or(observed_wait_s);
         let reader = self.servers.get(&server).filter(|s| s.role == Role::Read);
-        if let (Some(reader), Some(waited)) = (reader, waited) {
-            let wait = self.waits.entry(self.alike(reader)).or_default();
-            *wait = wait.toward(waited, WAIT_STEP, self.now, WAIT_FADE_S);
+        if let (Some(reader), Some(wait_s)) = (reader, wait_s) {
+            let mean_wait = self.queue_waits.entry(self.peer_group(reader)).or_default();
+            *mean_wait = mean_wait.toward(wait_s, QUEUE_WAIT_WEIGHT, self.now, QUEUE_WAIT_DECAY_S);
         }
         match status {
             Status::Read | Status::Served => {
-                // Answered in one piece: the whole of it is what a server takes that does all by itself.
-                self.called_off = (self.called_off - CALLED_OFF_PART).max(0.0);
-                if status == Status::Read || phase == Phase::Writing(Source::Prompt) {
-                    self.fit.learn(self.now, AGE_S, uncached, took);
+                self.cancelled_reads = (self.cancelled_reads - CANCELLATIONS_PER_SUCCESS).max(0.0);
+                // An answer that came in one piece from a server that reads and writes
+                // is a sample too: that server needs the whole duration for a request.
+                if status == Status::Read || phase == Phase::Writing(WriterInput::Prompt) {
+                    self.read_time.learn(self.now, DECAY_TIME_S, uncached, duration_s);
                 }
-                self.hear(server, sent);
+                self.record_success(server, sent_at);
             }
             Status::TimedOut if finished => {}
             Status::Error | Status::Reset | Status::NoConnection | Status::TimedOut => {
-                self.kept.remove(&(session_lot, server));
-                self.fail_server(server, refusals);
-                if let Some(known) = self.servers.get_mut(&server) {
+                self.cached_tokens.remove(&(session_hash, server));
+                self.record_failure(server, refusals);
+                if let Some(failed) = self.servers.get_mut(&server) {
                     match status {
-                        Status::Error => known.errors = known.errors.toward(1.0, ERROR_STEP, self.now, AGE_S),
-                        _ => known.broke = Some(Break { at: self.now, answered: None }),
+                        Status::Error => {
+                            failed.error_share =
+                                failed.error_share.toward(1.0, ERROR_WEIGHT, self.now, DECAY_TIME_S)
+                        }
+                        _ => {
+                            failed.last_break = Some(ConnectionBreak { at: self.now, first_answer_at: None })
+                        }
                     }
                 }
             }
-            Status::Full if note < 1.0 => self.fail_server(server, 0),
+            Status::Full if note < 1.0 => self.record_failure(server, 0),
             _ => {}
         }
         if phase == Phase::Ended {
-            // A read that outlives its request leaves a state that nobody else will let go.
+            // A read that ends after its request leaves a state that nothing else would release.
             return self.actions.push(Action::Release { id: id.clone() });
         }
         if finished {
-            return self.end(id, None);
+            return self.end_request(id, None);
         }
-        // After a writer failed the state still waits, unless the fetch had ended or it is gone.
+        // After a writer has failed, the reader still holds the state, unless
+        // the writer had fetched the state already or the state is gone.
         let next = match (status, phase) {
             (Status::Read, _) => Phase::Held(server, self.now),
             (Status::Full, _) if note >= 1.0 => Phase::Queued,
-            // While no connection comes up the time of what is held runs on: not for a second long dial.
-            (_, Phase::Writing(_)) if unheard => Phase::Queued,
-            (NoConnection | Moot, Phase::Writing(Source::State(reader, held))) => Phase::Held(reader, held),
-            (_, Phase::Writing(Source::State(reader, _))) => Phase::Held(reader, self.now),
+            // The hold time of a state runs on during a dial that
+            // times out, and does not last for a second dial.
+            (_, Phase::Writing(_)) if dial_timed_out => Phase::Queued,
+            (NoConnection | Moot, Phase::Writing(WriterInput::State(reader, since))) => {
+                Phase::Held(reader, since)
+            }
+            (_, Phase::Writing(WriterInput::State(reader, _))) => Phase::Held(reader, self.now),
             _ => Phase::Queued,
         };
         self.set_phase(id, next);
-        if self.requests[id].is_spent(self.now) {
+        if self.requests[id].attempts_exhausted(self.now) {
             self.give_up(id, GiveUpReason::AttemptsSpent);
         }
     }
 
-    fn take_load(&mut self, id: ServerId, load: &Load) {
+    /// Records the memory share that a server has reported.
+    fn record_load(&mut self, id: ServerId, load: &Load) {
         if let (Some(server), Some(share)) = (self.servers.get_mut(&id), load.memory_share) {
-            server.share = Some((self.now, share));
+            server.reported_share = Some((self.now, share));
         }
     }
 
-    fn take_roster(&mut self, form: RosterForm, entries: &[Entry]) {
+    /// Applies a roster update. A server that is missing from a full list is gone.
+    fn apply_roster(&mut self, form: RosterForm, entries: &[Entry]) {
         if form == RosterForm::Failed {
-            self.watching = false;
+            self.is_roster_requested = false;
         } else if form == RosterForm::Full {
             self.servers.values_mut().for_each(|s| s.entry.condition = Condition::Gone);
         }
         for entry in entries {
             let Some(&role) = self.settings.roles.get(entry.kind) else { continue };
-            let known = self.servers.entry(entry.server).or_default();
-            if known.role != role || known.entry.started_at != entry.started_at || known.memory == 0.0 {
-                // New, or started again: what was learnt of the process before says nothing.
-                let told = self.settings.memory_tokens.get(entry.kind).copied().filter(|m| *m > 0.0);
-                let memory = told.unwrap_or(f64::INFINITY);
-                let sent = std::mem::take(&mut known.sent);
-                *known = Server { role, memory, sent, learnt: self.now, ..Server::default() };
+            let server = self.servers.entry(entry.server).or_default();
+            if server.role != role
+                || server.entry.started_at != entry.started_at
+                || server.memory_tokens == 0.0
+            {
+                // The server is new or was restarted. Only the sends are kept:
+                // all other information is about a process that no longer runs.
+                let configured = self.settings.memory_tokens.get(entry.kind).copied().filter(|m| *m > 0.0);
+                let memory_tokens = configured.unwrap_or(f64::INFINITY);
+                let recent_sends = std::mem::take(&mut server.recent_sends);
+                *server =
+                    Server { role, memory_tokens, recent_sends, known_since: self.now, ..Server::default() };
             }
-            known.entry = entry.clone();
+            server.entry = entry.clone();
         }
-        for (reading, most) in [false, true].into_iter().zip(self.most) {
-            let zones: Vec<_> = self.listed(reading).map(|(_, s)| s.entry.zone).collect();
-            let now = [zones.len(), zones.iter().collect::<BTreeSet<_>>().len()];
-            self.most[usize::from(reading)] = [0, 1].map(|n| most[n].max(now[n] as f64));
+        for (readers, previous_max) in [false, true].into_iter().zip(self.max_ready) {
+            let zones: Vec<_> = self.ready_servers(readers).map(|(_, s)| s.entry.zone).collect();
+            let ready = [zones.len(), zones.iter().collect::<BTreeSet<_>>().len()];
+            self.max_ready[usize::from(readers)] = [0, 1].map(|n| previous_max[n].max(ready[n] as f64));
         }
     }
 
-    fn fail_server(&mut self, id: ServerId, refusals: u32) {
+    /// Records a failure of a server, so that the server is left alone for a while.
+    /// Failed connections also count against the server's zone, which may be cut off.
+    fn record_failure(&mut self, id: ServerId, refusals: u32) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        server.backoff.fail(self.now, BACK_OFF, BACK_OFF_MOST);
-        let (zone, refused) = self.zones.entry(server.entry.zone).or_default();
-        *refused += refusals;
-        if refusals > 0 && *refused >= REFUSED_MOST {
-            zone.fail(self.now, BACK_OFF, BACK_OFF_MOST);
+        server.backoff.fail(self.now, INITIAL_BACKOFF, MAX_BACKOFF);
+        let (zone_backoff, zone_refusals) = self.zone_failures.entry(server.entry.zone).or_default();
+        *zone_refusals += refusals;
+        if refusals > 0 && *zone_refusals >= MAX_ZONE_REFUSALS {
+            zone_backoff.fail(self.now, INITIAL_BACKOFF, MAX_BACKOFF);
         }
     }
 
-    /// It has run since then: what broke after that was not its process.
-    fn live_on(&mut self, id: ServerId, since: Micros) {
-        self.servers.entry(id).and_modify(|server| _ = server.broke.take_if(|broke| since <= broke.at));
+    /// Records that the server's process has run since the given time. A
+    /// connection that broke after that time does not point to a restart.
+    fn record_running_since(&mut self, id: ServerId, since: Micros) {
+        self.servers
+            .entry(id)
+            .and_modify(|server| _ = server.last_break.take_if(|last_break| since <= last_break.at));
     }
 
-    /// A server's answer to what was sent then.
-    fn hear(&mut self, id: ServerId, sent: Micros) {
-        self.live_on(id, sent);
+    /// Records a successful answer to a request that was sent at the
+    /// given time. The server and its zone are no longer left alone.
+    fn record_success(&mut self, id: ServerId, sent_at: Micros) {
+        self.record_running_since(id, sent_at);
         if let Some(server) = self.servers.get_mut(&id) {
-            server.broke.iter_mut().for_each(|broke| _ = broke.answered.get_or_insert(self.now));
-            (server.backoff, server.heard) = (Backoff::default(), self.now);
-            self.zones.remove(&server.entry.zone);
-            server.errors = server.errors.toward(0.0, SUCCESS_STEP, self.now, AGE_S);
+            server
+                .last_break
+                .iter_mut()
+                .for_each(|last_break| _ = last_break.first_answer_at.get_or_insert(self.now));
+            (server.backoff, server.last_success) = (Backoff::default(), self.now);
+            self.zone_failures.remove(&server.entry.zone);
+            server.error_share = server.error_share.toward(0.0, SUCCESS_WEIGHT, self.now, DECAY_TIME_S);
         }
     }
 
-    /// Whether nothing good has come from a server for a while; what waits longer may just be queued there.
+    /// Returns true if the server has not answered successfully for a while. If the
+    /// server does answer others, a request that waits longer may just be queued there.
     fn is_silent(&self, id: ServerId) -> bool {
-        self.servers.get(&id).is_none_or(|s| seconds(self.now - s.heard) > OVERDUE_S)
+        self.servers.get(&id).is_none_or(|s| seconds(self.now - s.last_success) > MIN_OVERDUE_S)
     }
 
-    fn out(&self, id: ServerId) -> Out {
-        self.outs.get(&id).copied().unwrap_or_default()
+    /// Returns the requests that this router has in flight at the server.
+    fn in_flight_at(&self, id: ServerId) -> InFlight {
+        self.in_flight.get(&id).copied().unwrap_or_default()
     }
 
-    fn count_out(&mut self) {
-        let mut outs = BTreeMap::<ServerId, Out>::new();
+    /// Counts the requests in flight at each server, and updates the mean of the tokens in progress.
+    fn count_in_flight(&mut self) {
+        let mut counts = BTreeMap::<ServerId, InFlight>::new();
         for request in self.requests.values() {
-            for attempt in request.attempts.iter().filter(|a| a.out) {
-                let out = outs.entry(attempt.server).or_default();
-                out.attempts += 1;
-                let age = seconds(self.now - attempt.sent);
+            for attempt in request.attempts.iter().filter(|a| a.in_flight) {
+                let count = counts.entry(attempt.server).or_default();
+                count.attempts += 1;
+                let age_s = seconds(self.now - attempt.sent_at);
                 if !attempt.cancelled && !matches!(request.phase, Phase::Streaming(_)) {
-                    out.waiting += 1;
-                    out.oldest_s = out.oldest_s.max(age);
-                    out.oldest_ratio = out.oldest_ratio.max(age / attempt.expected_s.max(0.01));
+                    count.unanswered += 1;
+                    count.max_age_s = count.max_age_s.max(age_s);
+                    count.max_age_ratio = count.max_age_ratio.max(age_s / attempt.expected_s.max(0.01));
                 }
-                if attempt.reading {
-                    out.reads += 1;
-                    out.backlog_s += attempt.read.work_s;
+                if attempt.is_read {
+                    count.reads += 1;
+                    count.backlog_s += attempt.read_estimate.work_s;
                 } else {
-                    let alone = request.phase == Phase::Writing(Source::Prompt);
-                    out.backlog_s += f64::from(u8::from(alone)) * attempt.read.work_s;
-                    out.tokens += self.stream_tokens(request);
+                    let reads_prompt = request.phase == Phase::Writing(WriterInput::Prompt);
+                    count.backlog_s += f64::from(u8::from(reads_prompt)) * attempt.read_estimate.work_s;
+                    count.tokens += self.held_tokens(request);
                 }
             }
         }
-        self.outs = outs;
-        let under_way = self.requests.values().filter(|r| !matches!(r.phase, Phase::Queued | Phase::Ended));
-        self.under_way.hold(self.now, under_way.map(|r| self.stream_tokens(r)).sum(), AGE_S);
-    }
-
-    fn listed(&self, reading: bool) -> impl Iterator<Item = (ServerId, &Server)> {
-        let ready =
-            move |s: &Server| s.entry.condition == Condition::Ready && (s.role == Role::Read) == reading;
-        self.servers.iter().filter(move |(_, s)| ready(s)).map(|(id, s)| (*id, s))
-    }
-
-    /// Servers for ordinary work: neither failing nor silent; if none, those whose pause ends soonest.
-    fn well(&self, reading: bool) -> Vec<ServerId> {
-        let mut open: Vec<_> = self.listed(reading).collect();
-        let well = |(id, s): &(ServerId, &Server)| {
-            let out = self.out(*id);
-            let silent = out.oldest_s > OVERDUE_S && out.oldest_ratio > OVERDUE[1] && self.is_silent(*id);
-            let trial = s.backoff.fails > 0 && out.attempts > 0;
-            self.now >= s.backoff.until && !silent && !trial && s.errors.left(self.now, AGE_S) < ERROR_MOST
+        self.in_flight = counts;
+        let in_progress = self.requests.values().filter(|r| !matches!(r.phase, Phase::Queued | Phase::Ended));
+        self.tokens_in_progress.hold(self.now, in_progress.map(|r| self.held_tokens(r)).sum(), DECAY_TIME_S);
+    }
+
+    /// Returns the servers that the roster lists as ready: the readers, or all others.
+    fn ready_servers(&self, readers: bool) -> impl Iterator<Item = (ServerId, &Server)> {
+        let is_ready =
+            move |s: &Server| s.entry.condition == Condition::Ready && (s.role == Role::Read) == readers;
+        self.servers.iter().filter(move |(_, s)| is_ready(s)).map(|(id, s)| (*id, s))
+    }
+
+    /// Returns the servers for ordinary work: those that neither fail nor have fallen silent. If there is
+    /// none, the servers whose pause ends first are returned, so that requests are still tried somewhere.
+    fn healthy_servers(&self, readers: bool) -> Vec<ServerId> {
+        let mut servers: Vec<_> = self.ready_servers(readers).collect();
+        let is_healthy = |(id, s): &(ServerId, &Server)| {
+            let in_flight = self.in_flight_at(*id);
+            let has_fallen_silent = in_flight.max_age_s > MIN_OVERDUE_S
+                && in_flight.max_age_ratio > OVERDUE_FACTORS[1]
+                && self.is_silent(*id);
+            // After a pause, a server that has failed gets one request at a time until it has answered.
+            let is_on_trial = s.backoff.fails > 0 && in_flight.attempts > 0;
+            self.now >= s.backoff.until
+                && !has_fallen_silent
+                && !is_on_trial
+                && s.error_share.left(self.now, DECAY_TIME_S) < MAX_ERROR_SHARE
         };
-        if open.iter().any(well) {
-            open.retain(well);
-            // One dial after the other into a zone that is cut off would use up attempts and time.
-            let cut_off = |s: &Server| self.zones.get(&s.entry.zone).is_some_and(|z| self.now < z.0.until);
-            if open.iter().any(|(_, s)| !cut_off(s)) {
-                open.retain(|(_, s)| !cut_off(s));
+        if servers.iter().any(is_healthy) {
+            servers.retain(is_healthy);
+            // Dialling one server after the other in a zone that is
+            // cut off would use up the request's attempts and time.
+            let is_cut_off = |s: &Server| {
+                self.zone_failures.get(&s.entry.zone).is_some_and(|failures| self.now < failures.0.until)
+            };
+            if servers.iter().any(|(_, s)| !is_cut_off(s)) {
+                servers.retain(|(_, s)| !is_cut_off(s));
             }
         } else {
-            let soonest = open.iter().map(|(_, s)| s.backoff.until).min();
-            open.retain(|(_, s)| Some(s.backoff.until) == soonest);
+            let first_end = servers.iter().map(|(_, s)| s.backoff.until).min();
+            servers.retain(|(_, s)| Some(s.backoff.until) == first_end);
         }
-        open.into_iter().map(|(id, _)| id).collect()
+        servers.into_iter().map(|(id, _)| id).collect()
     }
 
-    /// How many listed servers get no ordinary work now.
+    /// Returns the number of ready servers that get no ordinary work at this time.
     pub fn avoided(&mut self, now: Micros) -> usize {
         self.now = now.max(self.now);
-        [true, false].map(|reading| self.listed(reading).count() - self.well(reading).len()).iter().sum()
-    }
-
-    /// Where a request may go: the well that its class allows, those it has not tried before the others.
-    fn candidates(&self, request: &Request, reading: bool) -> Vec<ServerId> {
-        let mut open = self.well(reading);
-        let home = reading.then(|| self.homes(request).0.first().copied()).flatten();
-        open.retain(|s| self.may_send(request, *s) && self.admits(request, *s, home));
-        let new = |s: &ServerId| request.attempts.iter().all(|a| a.server != *s);
-        if open.iter().any(new) {
-            open.retain(new);
+        [true, false]
+            .map(|readers| self.ready_servers(readers).count() - self.healthy_servers(readers).len())
+            .iter()
+            .sum()
+    }
+
+    /// Returns the healthy servers that the request's class and slow start allow. If
+    /// some of them have not had an attempt of the request yet, only those are returned.
+    fn candidates(&self, request: &Request, readers: bool) -> Vec<ServerId> {
+        let mut servers = self.healthy_servers(readers);
+        let preferred = readers.then(|| self.preferred_readers(request).0.first().copied()).flatten();
+        servers.retain(|s| self.may_send(request, *s) && self.slow_start_admits(request, *s, preferred));
+        let is_untried = |s: &ServerId| request.attempts.iter().all(|a| a.server != *s);
+        if servers.iter().any(is_untried) {
+            servers.retain(is_untried);
         }
-        open
+        servers
     }
 
-    /// Whether a server in slow start may be sent the request; a reader only as its home.
-    fn admits(&self, request: &Request, id: ServerId, home: Option<ServerId>) -> bool {
+    /// Returns true if slow start allows the request at the server. A reader in slow start gets
+    /// only requests whose first preferred reader it is. A warm server gets every request.
+    fn slow_start_admits(&self, request: &Request, id: ServerId, preferred: Option<ServerId>) -> bool {
         let (server, settings) = (&self.servers[&id], &self.settings);
-        let (reading, warmth) = (server.role == Role::Read, self.warmth(server));
-        if warmth >= 1.0 || reading && home != Some(id) {
+        let (is_reader, warmth) = (server.role == Role::Read, self.warmth(server));
+        if warmth >= 1.0 || is_reader && preferred != Some(id) {
             return warmth >= 1.0;
         }
-        let [fleet, zones] = self.most[usize::from(reading)];
-        // Readers get what has its home there, one of those left in the zone; writers all that is read in it.
-        let near = |(_, s): &(ServerId, &Server)| s.entry.zone == server.entry.zone;
-        let asked = if reading { self.listed(true).filter(near).count() as f64 } else { 1.0 };
+        let [max_servers, max_zones] = self.max_ready[usize::from(is_reader)];
+        // A reader is offered only the requests whose first preferred reader it is, one in as many as
+        // the zone has ready readers. A writer is offered all requests that were read in its zone.
+        let in_zone = |(_, s): &(ServerId, &Server)| s.entry.zone == server.entry.zone;
+        let servers_per_offer =
+            if is_reader { self.ready_servers(true).filter(in_zone).count() as f64 } else { 1.0 };
         let multiple = warmth * settings.overload_factor;
         Offer {
-            calls: self.calls_in_window(server),
+            calls: self.regular_calls(server),
             routers: self.replicas,
             sent: self.sent_in_window(server),
-            work: self.work(request),
-            is_new: request.came >= server.learnt.max(self.started(server))
+            work: self.relative_work(request),
+            is_new: request.arrived_at >= server.known_since.max(self.last_start(server))
                 && request.attempts.iter().all(|a| a.server != id),
-            part: multiple * asked * zones / fleet,
-            ahead: self.ahead(),
-            known: self.prefixes.len() as f64 / PREFIXES as f64,
-            draw: draw(mix(request.own_lot, server.entry.started_at ^ u64::from(id.0))),
+            part: multiple * servers_per_offer * max_zones / max_servers,
+            ahead: self.headroom(),
+            known: self.recent_prefixes.len() as f64 / RECENT_PREFIXES as f64,
+            draw: draw(mix(request.request_hash, server.entry.started_at ^ u64::from(id.0))),
         }
         .is_admitted()
     }
 
-    /// What may reach a server in slow start in a window, whoever sends it, in calls of mean work.
-    fn calls_in_window(&self, server: &Server) -> f64 {
-        let [fleet, _] = self.most[usize::from(server.role == Role::Read)];
+    /// Returns the number of calls of mean work that all routers together may
+    /// regularly send to a server in slow start within one overload window.
+    fn regular_calls(&self, server: &Server) -> f64 {
+        let [max_servers, _] = self.max_ready[usize::from(server.role == Role::Read)];
         let multiple = self.warmth(server) * self.settings.overload_factor;
-        multiple * self.usual_rate() / fleet * seconds(self.settings.fall_window)
+        multiple * self.expected_fleet_rate() / max_servers * seconds(self.settings.fall_window)
     }
 
-    /// What this router has sent it in that window.
+    /// Returns the work that this router has sent to the
+    /// server within the current window, since its last start.
     fn sent_in_window(&self, server: &Server) -> f64 {
-        server.sent.since(self.window_began().max(self.started(server)))
+        server.recent_sends.since(self.window_start().max(self.last_start(server)))
     }
 
-    /// Checks what was just sent to a server against its quota, if it is in slow start.
+    /// Checks the last send to a server in slow start against the server's quota, and records a violation.
     fn check_quota(&mut self, id: &RequestId, to: ServerId, work: f64) {
         let server = &self.servers[&to];
         if self.warmth(server) >= 1.0 {
             return;
         }
-        let quota = slow_start::quota(self.calls_in_window(server), self.replicas);
-        let bound = quota.filter(|quota| work <= *quota);
-        if bound.is_some_and(|quota| self.sent_in_window(server) > quota) {
-            self.over_quota.push((id.clone(), to));
+        let quota = slow_start::quota(self.regular_calls(server), self.replicas);
+        let applicable = quota.filter(|quota| work <= *quota);
+        if applicable.is_some_and(|quota| self.sent_in_window(server) > quota) {
+            self.sends_over_quota.push((id.clone(), to));
         }
     }
 
-    /// Sends since the last call that went beyond the quota of a server in slow start.
+    /// Returns the sends since the last call of this function
+    /// that exceeded the quota of a server in slow start.
     pub fn take_over_quota(&mut self) -> Vec<(RequestId, ServerId)> {
-        std::mem::take(&mut self.over_quota)
+        std::mem::take(&mut self.sends_over_quota)
     }
 
-    /// What a call of the request weighs, in calls of mean work; a short one may be of a costly class.
-    fn work(&self, request: &Request) -> f64 {
-        (request.ask.prompt_tokens / self.mean_prompt.get().unwrap_or(0.0)).max(1.0)
+    /// Returns the work of the request in calls of mean work. A short
+    /// prompt counts as one call, because its class may be costly.
+    fn relative_work(&self, request: &Request) -> f64 {
+        (request.arrival.prompt_tokens / self.mean_prompt.get().unwrap_or(0.0)).max(1.0)
     }
 
-    /// Requests that come here in a second, by the last ones.
-    fn rate(&self) -> f64 {
-        let oldest = self.prefixes.back().map_or(self.now, |(_, at)| *at);
-        (self.prefixes.len().max(2) - 1) as f64 / seconds(self.now - oldest).max(RATE_S)
+    /// Returns the rate in requests per second at which requests recently arrived at this router.
+    fn arrival_rate(&self) -> f64 {
+        let oldest = self.recent_prefixes.back().map_or(self.now, |(_, at)| *at);
+        (self.recent_prefixes.len().max(2) - 1) as f64 / seconds(self.now - oldest).max(MIN_RATE_PERIOD_S)
     }
 
-    /// A router's part of what the fleet can do, by its tenants' shares, for each request that it has.
-    fn ahead(&self) -> f64 {
-        self.usual_rate() / self.replicas / self.rate()
+    /// Returns this router's equal part of the expected fleet rate as a multiple of its own arrival rate.
+    fn headroom(&self) -> f64 {
+        self.expected_fleet_rate() / self.replicas / self.arrival_rate()
     }
 
-    /// Requests a second that the fleet is set up for: its tenants' shares, else what comes if all see alike.
-    fn usual_rate(&self) -> f64 {
-        let told: f64 = self.settings.tenant_rates.iter().sum();
-        if told > 0.0 { told } else { self.replicas * self.rate() }
+    /// Returns the rate in requests per second that the fleet is configured for: the sum of the tenants'
+    /// rates. Without tenant rates, all routers are assumed to see the same arrival rate as this one.
+    fn expected_fleet_rate(&self) -> f64 {
+        let configured: f64 = self.settings.tenant_rates.iter().sum();
+        if configured > 0.0 { configured } else { self.replicas * self.arrival_rate() }
     }
 
-    /// Since when what was sent may reach a server within one window: it may wait for its connection.
-    fn window_began(&self) -> Micros {
+    /// Returns the earliest send time of requests that may reach a server within the same overload
+    /// window as a request sent now. A request may wait for its connection before it is written.
+    fn window_start(&self) -> Micros {
         self.now.saturating_sub(self.settings.fall_window + self.settings.dial_timeout)
     }
 
-    /// When a server last started: as listed, or as a break lets suspect until the list would tell.
-    fn started(&self, server: &Server) -> Micros {
-        // One that failed again and again and has not answered since may start before any router is told.
-        let down = if server.backoff.fails > 1 { self.now } else { 0 };
-        let suspected = server.broke.as_ref().map_or(0, |broke| broke.answered.unwrap_or(down));
-        server.entry.started_at.max(if suspected + RESTART_TOLD <= self.now { 0 } else { suspected })
+    /// Returns the time of the last start of a server: the listed one or, until
+    /// the roster would list a restart, the one that a broken connection suggests.
+    fn last_start(&self, server: &Server) -> Micros {
+        // A server that has failed repeatedly and has not
+        // answered since may start before any router is notified.
+        let unanswered = if server.backoff.fails > 1 { self.now } else { 0 };
+        let suspected = server
+            .last_break
+            .as_ref()
+            .map_or(0, |last_break| last_break.first_answer_at.unwrap_or(unanswered));
+        server.entry.started_at.max(if suspected + RESTART_ANNOUNCEMENT_DELAY <= self.now {
+            0
+        } else {
+            suspected
+        })
     }
 
-    /// The part of its capacity that a server has at its age, if it is as slow to start as any.
+    /// Returns the fraction of its capacity that a server has reached since its
+    /// start. Every server is assumed to start as slowly as the slowest one.
     fn warmth(&self, server: &Server) -> f64 {
-        let (settings, started) = (&self.settings, self.started(server));
-        let age = seconds(self.now.saturating_sub(started)) / seconds(settings.warm_after.max(1));
-        if started == 0 { 1.0 } else { settings.cold_from + (1.0 - settings.cold_from) * age.min(1.0) }
-    }
-
-    /// Cache affinity: readers as all routers of the zone order them, and how many of them keep its prefix.
-    fn homes(&self, request: &Request) -> (Vec<ServerId>, usize) {
-        let mut order: Vec<_> = self.listed(true).collect();
-        let by_session = |(id, _): &(ServerId, &Server)| mix(request.session_lot, u64::from(id.0));
-        let away = |s: &Server| s.entry.zone != self.settings.zone;
-        let near = order.iter().filter(|(_, s)| !away(s)).count();
-        // One for each reader's worth of requests with the prefix.
-        let same = self.prefixes.iter().filter(|(lot, _)| *lot == request.prefix_lot).count();
-        let count = (same * near).div_ceil(PREFIXES).max(1).min(near);
-        order.sort_by_key(|(id, s)| (away(s), mix(request.prefix_lot, u64::from(id.0))));
+        let (settings, started_at) = (&self.settings, self.last_start(server));
+        let age = seconds(self.now.saturating_sub(started_at)) / seconds(settings.warm_after.max(1));
+        if started_at == 0 { 1.0 } else { settings.cold_from + (1.0 - settings.cold_from) * age.min(1.0) }
+    }
+
+    /// Returns the ready readers in the request's order of preference, and the number of
+    /// preferred readers at its start. Preferred readers keep the request's prefix in
+    /// their cache. All routers of a zone compute the same order, by rendezvous hashing.
+    fn preferred_readers(&self, request: &Request) -> (Vec<ServerId>, usize) {
+        let mut order: Vec<_> = self.ready_servers(true).collect();
+        let by_session = |(id, _): &(ServerId, &Server)| mix(request.session_hash, u64::from(id.0));
+        let is_remote = |s: &Server| s.entry.zone != self.settings.zone;
+        let local_readers = order.iter().filter(|(_, s)| !is_remote(s)).count();
+        // The number of preferred readers grows with the share of the recent requests that have
+        // the prefix: one for each equal part of the requests that a reader of the zone would get.
+        let same_prefix =
+            self.recent_prefixes.iter().filter(|(hash, _)| *hash == request.prefix_hash).count();
+        let count = (same_prefix * local_readers).div_ceil(RECENT_PREFIXES).max(1).min(local_readers);
+        order.sort_by_key(|(id, s)| (is_remote(s), mix(request.prefix_hash, u64::from(id.0))));
         order[..count].sort_by_key(by_session);
-        let beyond = (near + count.max(1)).min(order.len());
-        order[near..beyond].sort_by_key(by_session);
+        let remote_end = (local_readers + count.max(1)).min(order.len());
+        order[local_readers..remote_end].sort_by_key(by_session);
         (order.into_iter().map(|(id, _)| id).collect(), count)
     }
 
-    /// Seconds that a read is likely to wait for other routers', by how it lately went at those alike.
-    fn wait_s(&self, id: ServerId) -> f64 {
-        let waits = self.servers.get(&id).and_then(|s| self.waits.get(&self.alike(s)));
-        waits.map_or(0.0, |wait_s| wait_s.left(self.now, WAIT_FADE_S))
+    /// Returns the seconds that a read at the server is expected to wait for
+    /// reads of other routers, by the recent waits in the server's peer group.
+    fn expected_wait_s(&self, id: ServerId) -> f64 {
+        let mean_wait = self.servers.get(&id).and_then(|s| self.queue_waits.get(&self.peer_group(s)));
+        mean_wait.map_or(0.0, |wait_s| wait_s.left(self.now, QUEUE_WAIT_DECAY_S))
     }
 
-    /// The servers of which one tells: its zone's that are as cold, for those get their part by lot.
-    fn alike(&self, server: &Server) -> (u32, bool) {
+    /// Returns the peer group of a server: its zone, and whether the server is
+    /// in slow start. Slow start admits only a part of the requests, so that
+    /// the queues of such servers are shorter than those of warm servers.
+    fn peer_group(&self, server: &Server) -> (u32, bool) {
         (server.entry.zone, self.warmth(server) < 1.0)
     }
 
-    /// What a read of the request would take at each of the readers, behind what this router has out there.
-    fn reads(&self, request: &Request, readers: &[ServerId]) -> Vec<Read> {
-        let ask = &request.ask;
-        let (order, homes) = self.homes(request);
+    /// Predicts the duration of a read of the request at each of the
+    /// readers, after the reads that this router has in flight there.
+    fn estimate_reads(&self, request: &Request, readers: &[ServerId]) -> Vec<ReadEstimate> {
+        let arrival = &request.arrival;
+        let (order, preferred_count) = self.preferred_readers(request);
         let order: BTreeMap<_, _> = order.into_iter().zip(0..).collect();
-        let read = |id: &ServerId| {
+        let estimate = |id: &ServerId| {
             let rank = order.get(id).copied().unwrap_or(order.len());
-            let at_home = rank < homes;
-            let kept = |lot| self.kept.get(&(lot, *id)).map_or(0.0, |kept| kept.0);
-            let prefix = if at_home { ask.prefix_tokens } else { kept(request.prefix_lot) };
-            let known = kept(request.session_lot).max(prefix.min(ask.prefix_tokens));
-            let kilotokens = (ask.prompt_tokens - known).max(0.0) / 1000.0;
-            let (alone_s, behind_s) = (self.fit.predict(kilotokens), self.out(*id).backlog_s);
-            let work_s = (alone_s - self.fit.weights()[0]).max(0.0);
-            Read { server: *id, rank, work_s, behind_s, total_s: alone_s + behind_s }
+            let is_preferred = rank < preferred_count;
+            let cached = |hash| self.cached_tokens.get(&(hash, *id)).map_or(0.0, |entry| entry.0);
+            let prefix = if is_preferred { arrival.prefix_tokens } else { cached(request.prefix_hash) };
+            let cached_part = cached(request.session_hash).max(prefix.min(arrival.prefix_tokens));
+            let uncached = (arrival.prompt_tokens - cached_part).max(0.0) / 1000.0;
+            let (read_s, queued_s) = (self.read_time.predict(uncached), self.in_flight_at(*id).backlog_s);
+            let work_s = (read_s - self.read_time.weights()[0]).max(0.0);
+            ReadEstimate { server: *id, rank, work_s, queued_s, total_s: read_s + queued_s }
         };
-        readers.iter().map(read).collect()
+        readers.iter().map(estimate).collect()
     }
 
-    fn release_queued(&mut self) {
-        let well = self.well(true);
+    /// Gives up queued requests that can no longer be answered
+    /// in time, and sends the most urgent others to readers.
+    fn send_queued(&mut self) {
+        let readers = self.healthy_servers(true);
         let mut queue = Vec::new();
-        let mut ids = self.ids(|r| r.phase == Phase::Queued);
-        ids.sort_by_key(|id| self.requests[id].best.0);
+        let mut ids = self.request_ids(|r| r.phase == Phase::Queued);
+        ids.sort_by_key(|id| self.requests[id].shortest_read.0);
         for (n, id) in ids.into_iter().enumerate() {
-            if n < LOOKS || self.requests[&id].best.0 == 0 {
-                let reads = self.reads(&self.requests[&id], &well).into_iter().map(|r| r.total_s);
-                let best = (self.now, reads.reduce(f64::min).unwrap_or(0.0));
-                self.requests.entry(id.clone()).and_modify(|r| r.best = best);
+            if n < MAX_EVALUATED_REQUESTS || self.requests[&id].shortest_read.0 == 0 {
+                let durations =
+                    self.estimate_reads(&self.requests[&id], &readers).into_iter().map(|r| r.total_s);
+                let shortest_read = (self.now, durations.reduce(f64::min).unwrap_or(0.0));
+                self.requests.entry(id.clone()).and_modify(|r| r.shortest_read = shortest_read);
             }
             let request = &self.requests[&id];
-            let ready_at = self.now + micros(request.best.1 + self.first_token_s);
-            if ready_at > request.hopeless {
+            let first_token_at = self.now + micros(request.shortest_read.1 + self.first_token_s);
+            if first_token_at > request.infeasible_after {
                 self.give_up(&id, GiveUpReason::DeadlineOutOfReach);
                 continue;
             }
-            // Late ones behind those still in time: an aim that is missed cannot be missed again.
-            let (late, slack) = (ready_at > request.aim, request.aim as i64 - ready_at as i64);
-            queue.push((late, request.over_share, slack, request.came, id));
+            // Late requests go behind those that can still meet their target: a missed target stays missed.
+            let (is_late, slack) =
+                (first_token_at > request.target_at, request.target_at as i64 - first_token_at as i64);
+            queue.push((is_late, request.over_tenant_quota, slack, request.arrived_at, id));
         }
         queue.sort();
-        queue.truncate(LOOKS);
-        for (_, over_share, slack, _, id) in queue {
+        queue.truncate(MAX_EVALUATED_REQUESTS);
+        for (_, over_tenant_quota, slack, _, id) in queue {
             if let Some(server) = self.choose_reader(&id, slack as f64 / 1e6) {
                 self.send(&id, server);
-            } else if !self.asks_writers(&id) && over_share {
-                // Past its tenant's share it earns little: it goes first when there is not room for all.
+            } else if !self.await_probes(&id) && over_tenant_quota {
+                // Requests over the tenant's quota are the first to be given
+                // up while there is not room for all: they earn little.
                 self.give_up(&id, GiveUpReason::OverShare);
             }
         }
     }
 
+    /// Returns the reader with the lowest expected duration for the request, or none
+    /// if the request has to wait for a writer or for a reader below its limit.
     fn choose_reader(&self, id: &RequestId, slack_s: f64) -> Option<ServerId> {
         let request = &self.requests[id];
-        if self.listed(true).next().is_none() {
-            return self.choose_alone(request);
+        if self.ready_servers(true).next().is_none() {
+            return self.choose_mixed_server(request);
         }
-        if !self.writer_room(request) {
+        if !self.has_writer_room(request) {
             return None;
         }
-        let every = self.listed(true).skip(PRIORITY_EVERY - 1).step_by(PRIORITY_EVERY);
-        let priority: BTreeSet<_> = every.map(|(id, _)| id).collect();
-        let mut open = self.reads(request, &self.candidates(request, true));
-        let reads_out = |r: &Read| self.out(r.server).reads;
-        // Fewer where reads take long, whoever's they are.
-        let cap = ((READ_AHEAD_S / self.fit.predict(self.fit.mean())) as usize).clamp(1, READER_CAP);
-        open.retain(|r| reads_out(r) < cap);
-        // Offload: less slack than a full priority batch takes, or every ordinary reader at its cap.
-        let batch_s = self.fit.predict(self.fit.mean() * READER_CAP as f64);
-        if slack_s >= batch_s + OFFLOAD_MARGIN_S && open.iter().any(|r| !priority.contains(&r.server)) {
-            // Ticket: a priority reader where this router has nothing out may be sent one.
-            open.retain(|r| !priority.contains(&r.server) || reads_out(r) == 0);
-        }
-        let away = |r: &Read| self.servers[&r.server].entry.zone != self.settings.zone;
-        let cost = |r: &Read| r.total_s + self.wait_s(r.server) + f64::from(u8::from(away(r))) * AWAY_S;
-        open.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)).then(a.rank.cmp(&b.rank))).map(|r| r.server)
-    }
-
-    /// No reader is listed: a mixed server reads and answers by itself, as much as its memory takes.
-    fn choose_alone(&self, request: &Request) -> Option<ServerId> {
-        let mut open = self.candidates(request, false);
-        open.retain(|s| {
-            let (server, out) = (&self.servers[s], self.out(*s));
-            let alone = server.role == Role::Both || self.settings.writers_read;
-            let fits = out.tokens + request.ask.prompt_tokens <= SHARE_FULL * server.memory;
-            alone && (out.attempts == 0 || out.waiting < READER_CAP && fits)
+        let priority_ids =
+            self.ready_servers(true).skip(PRIORITY_READER_INTERVAL - 1).step_by(PRIORITY_READER_INTERVAL);
+        let priority: BTreeSet<_> = priority_ids.map(|(id, _)| id).collect();
+        let mut estimates = self.estimate_reads(request, &self.candidates(request, true));
+        let reads_in_flight = |r: &ReadEstimate| self.in_flight_at(r.server).reads;
+        // The limit is lower while the mean read takes long, for short requests too.
+        let max_reads = ((MAX_READ_AHEAD_S / self.read_time.predict(self.read_time.mean())) as usize)
+            .clamp(1, MAX_READS_PER_READER);
+        estimates.retain(|r| reads_in_flight(r) < max_reads);
+        // A request may use all priority readers if its slack is less than the time
+        // of a full priority batch, or if every ordinary reader is at its limit.
+        let batch_s = self.read_time.predict(self.read_time.mean() * MAX_READS_PER_READER as f64);
+        if slack_s >= batch_s + OFFLOAD_MARGIN_S && estimates.iter().any(|r| !priority.contains(&r.server)) {
+            // Any other request may use only priority readers at which this router has no read in flight.
+            estimates.retain(|r| !priority.contains(&r.server) || reads_in_flight(r) == 0);
+        }
+        let is_remote = |r: &ReadEstimate| self.servers[&r.server].entry.zone != self.settings.zone;
+        let cost_s = |r: &ReadEstimate| {
+            r.total_s
+                + self.expected_wait_s(r.server)
+                + f64::from(u8::from(is_remote(r))) * OTHER_ZONE_PENALTY_S
+        };
+        estimates
+            .iter()
+            .min_by(|a, b| cost_s(a).total_cmp(&cost_s(b)).then(a.rank.cmp(&b.rank)))
+            .map(|r| r.server)
+    }
+
+    /// Returns a server that reads and writes the request by itself, where no
+    /// reader is listed. A server gets as many requests as its memory holds.
+    fn choose_mixed_server(&self, request: &Request) -> Option<ServerId> {
+        let mut servers = self.candidates(request, false);
+        servers.retain(|s| {
+            let (server, in_flight) = (&self.servers[s], self.in_flight_at(*s));
+            let reads_itself = server.role == Role::Both || self.settings.writers_read;
+            let fits =
+                in_flight.tokens + request.arrival.prompt_tokens <= MAX_MEMORY_SHARE * server.memory_tokens;
+            reads_itself && (in_flight.attempts == 0 || in_flight.unanswered < MAX_READS_PER_READER && fits)
         });
-        self.fewest_tokens(request, open.into_iter())
+        self.with_fewest_tokens(request, servers.into_iter())
     }
 
-    /// The server where this router has the fewest tokens; among equals by lot, or all would drown the same.
-    fn fewest_tokens(&self, request: &Request, of: impl Iterator<Item = ServerId>) -> Option<ServerId> {
-        let tokens = |s: &ServerId| self.out(*s).tokens;
-        let lot = |s: &ServerId| mix(request.lot, u64::from(s.0));
-        of.min_by(|a, b| tokens(a).total_cmp(&tokens(b)).then(lot(a).cmp(&lot(b))))
+    /// Returns the server at which this router has the fewest tokens. Ties are broken by
+    /// the request's hash: if all routers chose the same server, it would be overloaded.
+    fn with_fewest_tokens(
+        &self,
+        request: &Request,
+        servers: impl Iterator<Item = ServerId>,
+    ) -> Option<ServerId> {
+        let tokens = |s: &ServerId| self.in_flight_at(*s).tokens;
+        let hash = |s: &ServerId| mix(request.retry_hash, u64::from(s.0));
+        servers.min_by(|a, b| tokens(a).total_cmp(&tokens(b)).then(hash(a).cmp(&hash(b))))
     }
 
+    /// Sends the request to the server as its next attempt.
     fn send(&mut self, id: &RequestId, server: ServerId) {
-        let read = self.reads(&self.requests[id], &[server])[0];
-        let (work, began) = (self.work(&self.requests[id]), self.window_began());
+        let read_estimate = self.estimate_reads(&self.requests[id], &[server])[0];
+        let (work, window_start) = (self.relative_work(&self.requests[id]), self.window_start());
         let request = self.requests.get_mut(id);
-        let (Some(request), Some(known)) = (request, self.servers.get_mut(&server)) else { return };
-        known.sent.add(self.now, work, began);
-        let reading = known.role == Role::Read;
-        if reading {
-            let ask = &request.ask;
-            self.kept.insert((request.prefix_lot, server), (ask.prefix_tokens, self.now));
-            self.kept.insert((request.session_lot, server), (ask.prompt_tokens, self.now));
+        let (Some(request), Some(target)) = (request, self.servers.get_mut(&server)) else { return };
+        target.recent_sends.add(self.now, work, window_start);
+        let is_read = target.role == Role::Read;
+        if is_read {
+            let arrival = &request.arrival;
+            self.cached_tokens.insert((request.prefix_hash, server), (arrival.prefix_tokens, self.now));
+            self.cached_tokens.insert((request.session_hash, server), (arrival.prompt_tokens, self.now));
         }
         let (phase, expected_s) = match request.phase {
-            _ if reading => (Phase::Reading, read.total_s),
-            Phase::Held(reader, since) => (Phase::Writing(Source::State(reader, since)), self.first_token_s),
-            // Until there are answers the aim stands in for an estimate of one that comes in one piece.
-            _ if self.fit.is_guess() => (Phase::Writing(Source::Prompt), seconds(request.aim - request.came)),
-            _ => (Phase::Writing(Source::Prompt), read.total_s + self.first_token_s),
+            _ if is_read => (Phase::Reading, read_estimate.total_s),
+            Phase::Held(reader, since) => {
+                (Phase::Writing(WriterInput::State(reader, since)), self.first_token_s)
+            }
+            // Until enough answers have been measured, the first-token target
+            // replaces the estimate for a server that reads and writes.
+            _ if self.read_time.is_guess() => {
+                (Phase::Writing(WriterInput::Prompt), seconds(request.target_at - request.arrived_at))
+            }
+            _ => (Phase::Writing(WriterInput::Prompt), read_estimate.total_s + self.first_token_s),
         };
         request.phase = phase;
-        let (sent, out, cancelled, may_have_run) = (self.now, true, false, !reading);
-        let to = Attempt { server, sent, reading, expected_s, read, out, cancelled, may_have_run };
-        let repeat_before = request.repeat_before().filter(|_| !reading);
-        request.attempts.push(to);
+        let (sent_at, in_flight, cancelled, may_have_run) = (self.now, true, false, !is_read);
+        let attempt = Attempt {
+            server,
+            sent_at,
+            is_read,
+            expected_s,
+            read_estimate,
+            in_flight,
+            cancelled,
+            may_have_run,
+        };
+        let repeat_before = request.repeat_before().filter(|_| !is_read);
+        request.attempts.push(attempt);
         self.actions.push(Action::Send { id: id.clone(), server, repeat_before });
         self.check_quota(id, server, work);
-        self.count_out();
-    }
-
-    /// Tokens that a request holds at its writer: prompt and what it has grown toward its likely end.
-    fn stream_tokens(&self, request: &Request) -> f64 {
-        let token = request.class().token_aim.max(1) as f64;
-        let end = request.ask.hint.map_or(request.ask.max_output_tokens / 2.0, |hint| hint as f64 / token);
-        let grown = match request.phase {
-            Phase::Streaming(since) => ((self.now - since) as f64 / token).min(end),
+        self.count_in_flight();
+    }
+
+    /// Estimates the tokens that a request holds at its writer: the prompt, and
+    /// the part of the answer written so far, up to the answer's expected length.
+    fn held_tokens(&self, request: &Request) -> f64 {
+        let token_interval = request.class().token_aim.max(1) as f64;
+        let expected_length = request
+            .arrival
+            .hint
+            .map_or(request.arrival.max_output_tokens / 2.0, |hint| hint as f64 / token_interval);
+        let written = match request.phase {
+            Phase::Streaming(since) => ((self.now - since) as f64 / token_interval).min(expected_length),
             _ => 0.0,
         };
-        request.ask.prompt_tokens + grown
-    }
-
-    /// Tokens that all routers have where this one has so many: others the mean told, or own less chance.
-    fn of_all(&self) -> impl Fn(f64, usize, f64) -> f64 {
-        // Routers that outnumber writers learn little of each other by own requests; reports correct that.
-        let guess = self.settings.reports_memory || self.replicas <= self.listed(false).count() as f64;
-        let others = if guess { self.replicas * (SURGE * self.ahead()).min(1.0) - 1.0 } else { 0.0 }.max(0.0);
-        move |own, n, told| own + others * f64::max(told, own * (1.0 - CHANCE / (n.max(1) as f64).sqrt()))
-    }
-
-    /// Share of each writer's memory taken to be held: as reported, else by what this router has and had.
-    fn shares(&self, writers: &[ServerId]) -> BTreeMap<ServerId, f64> {
-        let mean = self.under_way.mean() / self.listed(false).count().max(1) as f64;
-        let of_all = self.of_all();
-        let known = |id: &ServerId| {
-            let (server, out) = (&self.servers[id], self.out(*id));
-            let reported = server.share.filter(|(at, _)| at + REPORT_LIFE > self.now);
-            let all = of_all(out.tokens, out.attempts, mean) / server.memory;
-            reported.map_or(all, |(_, share)| share.max(out.tokens / server.memory))
+        request.arrival.prompt_tokens + written
+    }
+
+    /// Returns a function that estimates the tokens of all routers from the tokens of
+    /// this router, the number of its requests that hold them, and its mean tokens
+    /// over time. Each other router is assumed to have that mean, or the present
+    /// tokens of this router less those that may be due to chance, whichever is more.
+    fn fleet_tokens(&self) -> impl Fn(f64, usize, f64) -> f64 {
+        // Where routers outnumber writers, the requests of one router say little about
+        // those of the others. The guess is then made only if load reports can correct it.
+        let may_guess =
+            self.settings.reports_memory || self.replicas <= self.ready_servers(false).count() as f64;
+        let other_routers = if may_guess {
+            self.replicas * (MAX_ARRIVAL_FACTOR * self.headroom()).min(1.0) - 1.0
+        } else {
+            0.0
+        }
+        .max(0.0);
+        move |own, own_requests, mean| {
+            own + other_routers
+                * f64::max(mean, own * (1.0 - CHANCE_DEVIATIONS / (own_requests.max(1) as f64).sqrt()))
+        }
+    }
+
+    /// Estimates the share of its memory that each writer holds: the reported share or, without
+    /// a recent report, the share estimated from this router's requests now and in the past.
+    fn memory_shares(&self, writers: &[ServerId]) -> BTreeMap<ServerId, f64> {
+        let mean_tokens = self.tokens_in_progress.mean() / self.ready_servers(false).count().max(1) as f64;
+        let fleet_tokens = self.fleet_tokens();
+        let share_of = |id: &ServerId| {
+            let (server, in_flight) = (&self.servers[id], self.in_flight_at(*id));
+            let reported = server.reported_share.filter(|(at, _)| at + LOAD_REPORT_LIFETIME > self.now);
+            let estimated =
+                fleet_tokens(in_flight.tokens, in_flight.attempts, mean_tokens) / server.memory_tokens;
+            reported.map_or(estimated, |(_, share)| share.max(in_flight.tokens / server.memory_tokens))
         };
-        writers.iter().map(|id| (*id, known(id))).collect()
+        writers.iter().map(|id| (*id, share_of(id))).collect()
     }
 
-    /// Whether a writer does not make this router wait.
+    /// Returns true if the writer is not busy: it does not keep this router's requests waiting.
     fn has_room(&self, writer: ServerId) -> bool {
-        let out = self.out(writer);
-        out.waiting < WAITING_CAP && out.oldest_s < WAITING_S
+        let in_flight = self.in_flight_at(writer);
+        in_flight.unanswered < MAX_UNANSWERED_PER_WRITER && in_flight.max_age_s < MAX_UNANSWERED_AGE_S
     }
 
-    /// Whether what is read has a writer to go to: one that does not make this router wait, and has memory.
-    fn writer_room(&self, request: &Request) -> bool {
-        let well = self.candidates(request, false);
-        let room = |(id, share): (ServerId, f64)| (SHARE_FULL - share).max(0.0) * self.servers[&id].memory;
-        let shares = self.shares(&well).into_iter().filter(|(id, _)| self.has_room(*id));
-        let room: f64 = shares.map(room).sum();
+    /// Returns true if a request may be read: writers that
+    /// are not busy have memory for the reads of all routers.
+    fn has_writer_room(&self, request: &Request) -> bool {
+        let writers = self.candidates(request, false);
+        let free_tokens = |(id, share): (ServerId, f64)| {
+            (MAX_MEMORY_SHARE - share).max(0.0) * self.servers[&id].memory_tokens
+        };
+        let shares = self.memory_shares(&writers).into_iter().filter(|(id, _)| self.has_room(*id));
+        let total_free: f64 = shares.map(free_tokens).sum();
         let reading = self.requests.values().filter(|r| r.phase == Phase::Reading);
-        let (tokens, reads) = reading.fold((0.0, 0), |(sum, n), r| (sum + r.ask.prompt_tokens, n + 1));
-        room > self.of_all()(tokens, reads, 0.0) || !well.is_empty() && self.outs.is_empty()
+        let (tokens, reads) = reading.fold((0.0, 0), |(sum, n), r| (sum + r.arrival.prompt_tokens, n + 1));
+        total_free > self.fleet_tokens()(tokens, reads, 0.0)
+            || !writers.is_empty() && self.in_flight.is_empty()
     }
 
-    /// Has writers whose load is guessed probed where a request waits for them; whether an answer is to come.
-    fn asks_writers(&mut self, id: &RequestId) -> bool {
-        if !self.settings.may_probe || self.writer_room(&self.requests[id]) {
+    /// Probes writers without a recent load report for a request that waits
+    /// for a writer. Returns true while the answer to a probe is awaited.
+    fn await_probes(&mut self, id: &RequestId) -> bool {
+        if !self.settings.may_probe || self.has_writer_room(&self.requests[id]) {
             return false;
         }
-        let (now, lot, mut waits) = (self.now, self.requests[id].lot, false);
+        let (now, hash, mut is_waiting) = (self.now, self.requests[id].retry_hash, false);
         let mut writers = self.candidates(&self.requests[id], false);
-        let away = |id: &ServerId| self.servers[id].entry.zone != self.settings.zone;
-        writers.sort_by_key(|id| (away(id), mix(lot, u64::from(id.0))));
-        for id in writers.into_iter().take(PROBES) {
+        let is_remote = |id: &ServerId| self.servers[id].entry.zone != self.settings.zone;
+        writers.sort_by_key(|id| (is_remote(id), mix(hash, u64::from(id.0))));
+        for id in writers.into_iter().take(PROBED_WRITERS) {
             let Some(server) = self.servers.get_mut(&id) else { continue };
-            let guessed = server.share.is_none_or(|(at, _)| at + REPORT_LIFE <= now);
-            if guessed && server.probed + PROBE_PAUSE <= now {
-                server.probed = now;
+            let lacks_report = server.reported_share.is_none_or(|(at, _)| at + LOAD_REPORT_LIFETIME <= now);
+            if lacks_report && server.last_probe + MIN_PROBE_INTERVAL <= now {
+                server.last_probe = now;
                 self.actions.push(Action::Probe { server: id });
             }
-            waits |= guessed && server.probed + PROBE_WAIT > now;
+            is_waiting |= lacks_report && server.last_probe + PROBE_TIMEOUT > now;
         }
-        waits
+        is_waiting
     }
 
-    fn place_held(&mut self) {
-        for id in self.ids(|r| matches!(r.phase, Phase::Held(..))) {
+    /// Sends each request whose state is held to a writer, if there is one for it.
+    fn send_held(&mut self) {
+        for id in self.request_ids(|r| matches!(r.phase, Phase::Held(..))) {
             if let Some(writer) = self.choose_writer(&self.requests[&id]) {
                 self.send(&id, writer);
             }
         }
     }
 
-    /// The part of a reader's states that the writers of its cell can take if all in the zone act alike.
-    fn part_at_home(&self, entry: &Entry) -> f64 {
-        let count = |reading: bool, here: bool| {
-            let near = self.listed(reading).filter(|(_, s)| s.entry.zone == entry.zone);
-            near.filter(|(_, s)| !here || s.entry.cell == entry.cell).count() as f64
+    /// Returns the fraction of a reader's states that the writers of its cell can take,
+    /// assuming that all readers of the zone, and all its writers, carry the same load.
+    fn same_cell_fraction(&self, entry: &Entry) -> f64 {
+        let count = |readers: bool, same_cell: bool| {
+            let in_zone = self.ready_servers(readers).filter(|(_, s)| s.entry.zone == entry.zone);
+            in_zone.filter(|(_, s)| !same_cell || s.entry.cell == entry.cell).count() as f64
         };
         count(false, true) * count(true, false) / count(false, false).max(1.0) / count(true, true).max(1.0)
     }
 
+    /// Returns the writer for a request whose state is held. Writers near the reader come first, in
+    /// its cell or in its zone, unless their memory share is far above the lowest. Among writers with
+    /// nearly the same memory share, the one at which this router has the fewest tokens is chosen.
     fn choose_writer(&self, request: &Request) -> Option<ServerId> {
         let Phase::Held(reader, _) = request.phase else { return None };
-        let mut open = self.candidates(request, false);
-        if open.iter().any(|s| self.has_room(*s)) {
-            open.retain(|s| self.has_room(*s));
+        let mut writers = self.candidates(request, false);
+        if writers.iter().any(|s| self.has_room(*s)) {
+            writers.retain(|s| self.has_room(*s));
         }
-        let shares = self.shares(&open);
-        let lowest = |of: &[ServerId]| of.iter().map(|s| shares[s]).reduce(f64::min);
-        let least = lowest(&open)?;
+        let shares = self.memory_shares(&writers);
+        let lowest_share = |group: &[ServerId]| group.iter().map(|s| shares[s]).reduce(f64::min);
+        let lowest_of_all = lowest_share(&writers)?;
         let entry = |s: &ServerId| &self.servers[s].entry;
-        let home = entry(&reader);
-        let stays = draw(request.lot) < self.part_at_home(home);
-        let cell: Vec<_> = open.iter().filter(|s| stays && entry(s).cell == home.cell).copied().collect();
-        let zone: Vec<_> = open.iter().filter(|s| entry(s).zone == home.zone).copied().collect();
-        // What is drawn for one just started goes there: among all the others it would get next to nothing.
+        let reader_entry = entry(&reader);
+        let stays_in_cell = draw(request.retry_hash) < self.same_cell_fraction(reader_entry);
+        let cell: Vec<_> =
+            writers.iter().filter(|s| stays_in_cell && entry(s).cell == reader_entry.cell).copied().collect();
+        let zone: Vec<_> = writers.iter().filter(|s| entry(s).zone == reader_entry.zone).copied().collect();
+        // A request that slow start admits at a writer goes to that writer. In
+        // competition with all warm writers, the writer would get next to nothing.
         if let Some(cold) = zone.iter().find(|s| self.warmth(&self.servers[*s]) < 1.0) {
             return Some(*cold);
         }
-        let near = |g: &Vec<ServerId>| lowest(g).is_some_and(|best| best <= least + SHARE_FAR);
-        let group = [cell, zone].into_iter().find(near).unwrap_or(open);
-        let best = lowest(&group)?;
-        let equal = group.into_iter().filter(|s| shares[s] <= best + SHARE_EQUAL);
-        self.fewest_tokens(request, equal)
+        let is_acceptable = |group: &Vec<ServerId>| {
+            lowest_share(group).is_some_and(|lowest| lowest <= lowest_of_all + MAX_LOCALITY_SHARE_LEAD)
+        };
+        let group = [cell, zone].into_iter().find(is_acceptable).unwrap_or(writers);
+        let lowest_in_group = lowest_share(&group)?;
+        let equally_loaded = group.into_iter().filter(|s| shares[s] <= lowest_in_group + EQUAL_SHARE_MARGIN);
+        self.with_fewest_tokens(request, equally_loaded)
     }
 }
