--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,69 +1,87 @@
-//! Slow start: what a server that has just started may be sent.
+//! Slow start: the limit on the calls that a server gets right after its start.
 //!
-//! Its budget is a number of calls of mean work in any sliding window, whichever routers send them. Each has
-//! an equal quota of that and counts what it sent, so the sum holds whatever the others do. A draw a call
-//! keeps the usual sum well below the budget; where the quota is less than two calls, only draws bound it.
+//! The budget of a server is the number of calls of mean work that all routers together may
+//! send to the server in any sliding window. Each router has an equal quota of the budget and
+//! counts only its own sends, so that the budget holds whatever the other routers do. A random
+//! admission for each call keeps the usual number of calls well below the budget. Where the
+//! quota of a router is less than two calls, only the random admission limits the calls.
 
-const AIM: f64 = 0.6; // part of N that is aimed at; the rest is for chance
-const AHEAD_UNKNOWN: f64 = 0.4; // what `ahead` is taken for where little came yet
-const SURGE: f64 = 1.5; // times what the fleet can do that may come where draws alone bound the sum
-const DEVIATIONS: f64 = 2.5; // by which their sum is kept below the budget then
-const QUOTA_LEAST: f64 = 2.0; // calls that a router is held to; less than that says less than the draws
-const MANY_CALLS: f64 = 30.0; // N from which the smaller allowance for chance holds
+/// Fraction of the regular calls that admission aims at. The rest allows for random variation.
+const TARGET_FRACTION: f64 = 0.6;
+/// Headroom that is assumed while a router has seen only few requests.
+const DEFAULT_HEADROOM: f64 = 0.4;
+/// Maximum number of calls that may arrive, as a multiple of the
+/// capacity of the fleet, where only random admission limits their sum.
+const MAX_BURST_FACTOR: f64 = 1.5;
+/// Standard deviations by which the sum of admitted calls is
+/// kept below the budget where only random admission limits it.
+const BUDGET_MARGIN_DEVIATIONS: f64 = 2.5;
+/// Minimum quota, in calls, that limits a router. A smaller
+/// quota limits the calls less than random admission does.
+const MIN_QUOTA: f64 = 2.0;
+/// Number of regular calls from which the smaller allowance for chance applies.
+const MANY_CALLS: f64 = 30.0;
 
-/// What all routers may send in a window in which N calls are regular: the rest is put down to chance.
+/// Returns the number of calls that all routers together may send in a window.
+/// It is the number of regular calls in a window, and an allowance for chance.
 pub fn budget(calls: f64) -> f64 {
     let of_many = |calls: f64| calls + 2.0 * calls.sqrt() + 2.0;
-    // For fewer not more than of a little larger N: what a router makes of N is not exact.
+    // The budget must not fall as the number of regular calls grows: a router knows that number only
+    // roughly, and an estimate just below `MANY_CALLS` must not allow more calls than one just above.
     let of_few = (calls + 3.0 * calls.sqrt() + 3.0).min(of_many(MANY_CALLS));
     if calls < MANY_CALLS { of_few } else { of_many(calls) }
 }
 
-/// What one of so many routers may send in a window in which N calls are regular; none if that says little.
+/// Returns the number of calls that each of the routers may send in a window, from the number
+/// of regular calls in a window. Returns `None` if the quota is too small to limit the calls.
 pub fn quota(calls: f64, routers: f64) -> Option<f64> {
-    let quota = (lawful_budget(calls) / routers).floor();
-    (quota >= QUOTA_LEAST).then_some(quota)
+    let quota = (checked_budget(calls) / routers).floor();
+    (quota >= MIN_QUOTA).then_some(quota)
 }
 
-/// The budget of an N that may be no number.
-fn lawful_budget(calls: f64) -> f64 {
+/// Returns the budget, with a number of regular calls that is negative or not finite taken as 0.
+fn checked_budget(calls: f64) -> f64 {
     budget(if calls.is_finite() { calls.max(0.0) } else { 0.0 })
 }
 
-/// A call that a server in slow start might be sent, as one router sees it.
+/// A call that one router might send to a server in slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct Offer {
-    /// N: multiple x present capacity x window, in calls of mean work.
+    /// Number of regular calls in a window, in calls of mean work: the
+    /// overload factor, times the present capacity, times the window.
     pub calls: f64,
-    /// Routers of the fleet.
+    /// Number of routers of the fleet.
     pub routers: f64,
-    /// What this router has sent the server within the window, in calls of mean work.
+    /// Work that this router has sent to the server within the window, in calls of mean work.
     pub sent: f64,
-    /// What the call adds to that.
+    /// Work of this call, in calls of mean work.
     pub work: f64,
-    /// Whether it came after the server's start was known, and the server has not been sent it before.
+    /// True if the call arrived after the server's start was known, and was not sent to the server before.
     pub is_new: bool,
-    /// Part of calls like it that would come to N if the fleet were at its capacity.
+    /// Fraction of such calls that would add up to the regular calls if the fleet were at its capacity.
     pub part: f64,
-    /// What the fleet can do as a multiple of what this router sees come.
+    /// Capacity of the fleet as a multiple of the arrivals that this router sees.
     pub ahead: f64,
-    /// How well that is known, from 0 to 1.
+    /// Confidence in the headroom, from 0 to 1.
     pub known: f64,
-    /// Between 0 and 1, drawn for the call at this server.
+    /// Hash fraction of the call at this server, in [0, 1).
     pub draw: f64,
 }
 
 impl Offer {
-    /// Whether the call may be sent.
+    /// Returns true if the call may be sent.
     pub fn is_admitted(&self) -> bool {
         if let Some(quota) = quota(self.calls, self.routers).filter(|quota| self.work <= *quota) {
-            return self.sent + self.work <= quota && self.draw < self.part * (AIM * self.ahead).min(1.0);
+            return self.sent + self.work <= quota
+                && self.draw < self.part * (TARGET_FRACTION * self.ahead).min(1.0);
         }
-        let budget = lawful_budget(self.calls);
-        // Draws alone bound the sum: all that waited would come at once, and a burst is not foretold.
-        let ahead = AHEAD_UNKNOWN + self.known * (self.ahead - AHEAD_UNKNOWN);
-        let most = (budget - DEVIATIONS * budget.sqrt()).max(0.0) / SURGE;
-        let part = self.part * (AIM * ahead).min(most / self.calls) / self.work;
-        self.is_new && self.work <= budget && self.draw < part
+        let budget = checked_budget(self.calls);
+        // Only random admission limits the sum here. Calls that have been waiting
+        // are therefore not admitted, because they would all come at once, and
+        // the admitted fraction leaves room for a burst that no router foresees.
+        let headroom = DEFAULT_HEADROOM + self.known * (self.ahead - DEFAULT_HEADROOM);
+        let max_calls = (budget - BUDGET_MARGIN_DEVIATIONS * budget.sqrt()).max(0.0) / MAX_BURST_FACTOR;
+        let fraction = self.part * (TARGET_FRACTION * headroom).min(max_calls / self.calls) / self.work;
+        self.is_new && self.work <= budget && self.draw < fraction
     }
 }
