--- a/src/choice.rs
+++ b/src/choice.rs
@@ -269,7 +269,7 @@
     /// Time of the last successful answer.
     last_success: Micros,
     /// Share of errors among the recent answers.
-    error_share: Fading,
+    error_share: DecayingValue,
 }
 
 /// The requests that this router has in flight at one server.
@@ -297,7 +297,7 @@
     servers: BTreeMap<ServerId, Server>,
     requests: BTreeMap<RequestId, Request>,
     /// Time of a read in seconds by thousands of uncached tokens.
-    read_time: QuadraticFit,
+    read_time: QuadraticRegression,
     /// Mean time from a send to a writer to its first token, in seconds.
     first_token_s: f64,
     tenant_buckets: Vec<LeakyBucket>,
@@ -306,7 +306,7 @@
     /// Prefix hashes and arrival times of the last requests, the latest first.
     recent_prefixes: VecDeque<(u64, Micros)>,
     /// Mean queue wait of recent reads, by peer group: the zone, and whether the readers are in slow start.
-    queue_waits: BTreeMap<(u32, bool), Fading>,
+    queue_waits: BTreeMap<(u32, bool), DecayingValue>,
     /// Pause of each zone, and the number of failed connections to the zone
     /// since its last answer. A connection timeout counts as several refusals.
     zone_failures: BTreeMap<u32, (Backoff, u32)>,
@@ -321,7 +321,7 @@
     /// Mean prompt length in tokens.
     mean_prompt: RunningMean,
     /// Mean of the sum of tokens of all requests that are being read or written.
-    tokens_in_progress: AgedMean,
+    tokens_in_progress: TimeWeightedMean,
     /// Time of the current call of `handle`.
     now: Micros,
     /// Requests in flight at each server at the time of the current call.
@@ -341,7 +341,7 @@
         }
         Ok(Self {
             replicas: f64::from(settings.replicas.max(1)),
-            read_time: QuadraticFit::new(INITIAL_READ_WEIGHTS, MIN_MODEL_SAMPLES),
+            read_time: QuadraticRegression::new(INITIAL_READ_WEIGHTS, MIN_MODEL_SAMPLES),
             first_token_s: 0.1, // initial estimate, until the first answers have been measured
             tenant_buckets: vec![LeakyBucket::default(); settings.tenant_rates.len()],
             settings: Rc::new(settings),
@@ -401,12 +401,12 @@
         let prefix_hash = arrival.prefix.as_deref().map_or(session_hash, number);
         self.recent_prefixes.push_front((prefix_hash, self.now));
         self.recent_prefixes.truncate(RECENT_PREFIXES);
-        let retry_hash = mix(session_hash, arrival.prompt_tokens as u64);
+        let retry_hash = hash_pair(session_hash, arrival.prompt_tokens as u64);
         let request = Request {
             session_hash,
             prefix_hash,
             retry_hash,
-            request_hash: mix(retry_hash, number(&arrival.id.0)),
+            request_hash: hash_pair(retry_hash, number(&arrival.id.0)),
             expires_at: self.now + arrival.expires_in,
             arrived_at: self.now,
             target_at: self.now + class.aim + length_allowance,
@@ -420,7 +420,7 @@
             attempts: Vec::new(),
             arrival: arrival.clone(),
         };
-        self.mean_prompt.learn(arrival.prompt_tokens, MEAN_PROMPT_SAMPLES);
+        self.mean_prompt.add_sample(arrival.prompt_tokens, MEAN_PROMPT_SAMPLES);
         self.requests.insert(arrival.id.clone(), request);
     }
 
@@ -631,7 +631,7 @@
                 // An answer that came in one piece from a server that reads and writes
                 // is a sample too: that server needs the whole duration for a request.
                 if status == Status::Read || phase == Phase::Writing(WriterInput::Prompt) {
-                    self.read_time.learn(self.now, DECAY_TIME_S, uncached, duration_s);
+                    self.read_time.add_sample(self.now, DECAY_TIME_S, uncached, duration_s);
                 }
                 self.record_success(server, sent_at);
             }
@@ -790,7 +790,7 @@
         }
         self.in_flight = counts;
         let in_progress = self.requests.values().filter(|r| !matches!(r.phase, Phase::Queued | Phase::Ended));
-        self.tokens_in_progress.hold(self.now, in_progress.map(|r| self.held_tokens(r)).sum(), DECAY_TIME_S);
+        self.tokens_in_progress.set(self.now, in_progress.map(|r| self.held_tokens(r)).sum(), DECAY_TIME_S);
     }
 
     /// Returns the servers that the roster lists as ready: the readers, or all others.
@@ -810,25 +810,27 @@
                 && in_flight.max_age_ratio > OVERDUE_FACTORS[1]
                 && self.is_silent(*id);
             // After a pause, a server that has failed gets one request at a time until it has answered.
-            let is_on_trial = s.backoff.fails > 0 && in_flight.attempts > 0;
-            self.now >= s.backoff.until
+            let is_on_trial = s.backoff.failures > 0 && in_flight.attempts > 0;
+            self.now >= s.backoff.paused_until
                 && !has_fallen_silent
                 && !is_on_trial
-                && s.error_share.left(self.now, DECAY_TIME_S) < MAX_ERROR_SHARE
+                && s.error_share.decayed(self.now, DECAY_TIME_S) < MAX_ERROR_SHARE
         };
         if servers.iter().any(is_healthy) {
             servers.retain(is_healthy);
             // Dialling one server after the other in a zone that is
             // cut off would use up the request's attempts and time.
             let is_cut_off = |s: &Server| {
-                self.zone_failures.get(&s.entry.zone).is_some_and(|failures| self.now < failures.0.until)
+                self.zone_failures
+                    .get(&s.entry.zone)
+                    .is_some_and(|failures| self.now < failures.0.paused_until)
             };
             if servers.iter().any(|(_, s)| !is_cut_off(s)) {
                 servers.retain(|(_, s)| !is_cut_off(s));
             }
         } else {
-            let first_end = servers.iter().map(|(_, s)| s.backoff.until).min();
-            servers.retain(|(_, s)| Some(s.backoff.until) == first_end);
+            let first_end = servers.iter().map(|(_, s)| s.backoff.paused_until).min();
+            servers.retain(|(_, s)| Some(s.backoff.paused_until) == first_end);
         }
         servers.into_iter().map(|(id, _)| id).collect()
     }
@@ -880,7 +882,7 @@
             part: multiple * servers_per_offer * max_zones / max_servers,
             ahead: self.headroom(),
             known: self.recent_prefixes.len() as f64 / RECENT_PREFIXES as f64,
-            draw: draw(mix(request.request_hash, server.entry.started_at ^ u64::from(id.0))),
+            draw: hash_fraction(hash_pair(request.request_hash, server.entry.started_at ^ u64::from(id.0))),
         }
         .is_admitted()
     }
@@ -953,7 +955,7 @@
     fn last_start(&self, server: &Server) -> Micros {
         // A server that has failed repeatedly and has not
         // answered since may start before any router is notified.
-        let unanswered = if server.backoff.fails > 1 { self.now } else { 0 };
+        let unanswered = if server.backoff.failures > 1 { self.now } else { 0 };
         let suspected = server
             .last_break
             .as_ref()
@@ -978,7 +980,7 @@
     /// their cache. All routers of a zone compute the same order, by rendezvous hashing.
     fn preferred_readers(&self, request: &Request) -> (Vec<ServerId>, usize) {
         let mut order: Vec<_> = self.ready_servers(true).collect();
-        let by_session = |(id, _): &(ServerId, &Server)| mix(request.session_hash, u64::from(id.0));
+        let by_session = |(id, _): &(ServerId, &Server)| hash_pair(request.session_hash, u64::from(id.0));
         let is_remote = |s: &Server| s.entry.zone != self.settings.zone;
         let local_readers = order.iter().filter(|(_, s)| !is_remote(s)).count();
         // The number of preferred readers grows with the share of the recent requests that have
@@ -986,7 +988,7 @@
         let same_prefix =
             self.recent_prefixes.iter().filter(|(hash, _)| *hash == request.prefix_hash).count();
         let count = (same_prefix * local_readers).div_ceil(RECENT_PREFIXES).max(1).min(local_readers);
-        order.sort_by_key(|(id, s)| (is_remote(s), mix(request.prefix_hash, u64::from(id.0))));
+        order.sort_by_key(|(id, s)| (is_remote(s), hash_pair(request.prefix_hash, u64::from(id.0))));
         order[..count].sort_by_key(by_session);
         let remote_end = (local_readers + count.max(1)).min(order.len());
         order[local_readers..remote_end].sort_by_key(by_session);
@@ -997,7 +999,7 @@
     /// reads of other routers, by the recent waits in the server's peer group.
     fn expected_wait_s(&self, id: ServerId) -> f64 {
         let mean_wait = self.servers.get(&id).and_then(|s| self.queue_waits.get(&self.peer_group(s)));
-        mean_wait.map_or(0.0, |wait_s| wait_s.left(self.now, QUEUE_WAIT_DECAY_S))
+        mean_wait.map_or(0.0, |wait_s| wait_s.decayed(self.now, QUEUE_WAIT_DECAY_S))
     }
 
     /// Returns the peer group of a server: its zone, and whether the server is
@@ -1081,12 +1083,13 @@
         let mut estimates = self.estimate_reads(request, &self.candidates(request, true));
         let reads_in_flight = |r: &ReadEstimate| self.in_flight_at(r.server).reads;
         // The limit is lower while the mean read takes long, for short requests too.
-        let max_reads = ((MAX_READ_AHEAD_S / self.read_time.predict(self.read_time.mean())) as usize)
+        let max_reads = ((MAX_READ_AHEAD_S / self.read_time.predict(self.read_time.mean_quantity()))
+            as usize)
             .clamp(1, MAX_READS_PER_READER);
         estimates.retain(|r| reads_in_flight(r) < max_reads);
         // A request may use all priority readers if its slack is less than the time
         // of a full priority batch, or if every ordinary reader is at its limit.
-        let batch_s = self.read_time.predict(self.read_time.mean() * MAX_READS_PER_READER as f64);
+        let batch_s = self.read_time.predict(self.read_time.mean_quantity() * MAX_READS_PER_READER as f64);
         if slack_s >= batch_s + OFFLOAD_MARGIN_S && estimates.iter().any(|r| !priority.contains(&r.server)) {
             // Any other request may use only priority readers at which this router has no read in flight.
             estimates.retain(|r| !priority.contains(&r.server) || reads_in_flight(r) == 0);
@@ -1125,7 +1128,7 @@
         servers: impl Iterator<Item = ServerId>,
     ) -> Option<ServerId> {
         let tokens = |s: &ServerId| self.in_flight_at(*s).tokens;
-        let hash = |s: &ServerId| mix(request.retry_hash, u64::from(s.0));
+        let hash = |s: &ServerId| hash_pair(request.retry_hash, u64::from(s.0));
         servers.min_by(|a, b| tokens(a).total_cmp(&tokens(b)).then(hash(a).cmp(&hash(b))))
     }
 
@@ -1149,7 +1152,7 @@
             }
             // Until enough answers have been measured, the first-token target
             // replaces the estimate for a server that reads and writes.
-            _ if self.read_time.is_guess() => {
+            _ if self.read_time.has_initial_weights() => {
                 (Phase::Writing(WriterInput::Prompt), seconds(request.target_at - request.arrived_at))
             }
             _ => (Phase::Writing(WriterInput::Prompt), read_estimate.total_s + self.first_token_s),
@@ -1254,7 +1257,7 @@
         let (now, hash, mut is_waiting) = (self.now, self.requests[id].retry_hash, false);
         let mut writers = self.candidates(&self.requests[id], false);
         let is_remote = |id: &ServerId| self.servers[id].entry.zone != self.settings.zone;
-        writers.sort_by_key(|id| (is_remote(id), mix(hash, u64::from(id.0))));
+        writers.sort_by_key(|id| (is_remote(id), hash_pair(hash, u64::from(id.0))));
         for id in writers.into_iter().take(PROBED_WRITERS) {
             let Some(server) = self.servers.get_mut(&id) else { continue };
             let lacks_report = server.reported_share.is_none_or(|(at, _)| at + LOAD_REPORT_LIFETIME <= now);
@@ -1300,7 +1303,7 @@
         let lowest_of_all = lowest_share(&writers)?;
         let entry = |s: &ServerId| &self.servers[s].entry;
         let reader_entry = entry(&reader);
-        let stays_in_cell = draw(request.retry_hash) < self.same_cell_fraction(reader_entry);
+        let stays_in_cell = hash_fraction(request.retry_hash) < self.same_cell_fraction(reader_entry);
         let cell: Vec<_> =
             writers.iter().filter(|s| stays_in_cell && entry(s).cell == reader_entry.cell).copied().collect();
         let zone: Vec<_> = writers.iter().filter(|s| entry(s).zone == reader_entry.zone).copied().collect();
--- a/src/numeric.rs
+++ b/src/numeric.rs
@@ -1,126 +1,127 @@
-//! Arithmetic that the decision module is written with: units of time, draws that every router repeats, values that
-//! fade, and least squares. Nothing is decided here.
+//! Arithmetic for the decision module: units of time, hashes that all routers compute
+//! alike, decaying values, and least squares. This module makes no decisions.
 
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
-/// A span in seconds.
-pub fn seconds(span: Micros) -> f64 {
-    span as f64 / 1e6
+/// Converts a duration to seconds.
+pub fn seconds(duration: Micros) -> f64 {
+    duration as f64 / 1e6
 }
 
-/// A span in microseconds; one below zero is none.
+/// Converts seconds to microseconds. A negative duration becomes 0.
 pub fn micros(seconds: f64) -> Micros {
     (seconds.max(0.0) * 1e6) as Micros
 }
 
-/// Evenly spread bits of two numbers: the same at every router that puts in the same.
-pub fn mix(a: u64, b: u64) -> u64 {
-    let bits = (a ^ b.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+/// Returns a hash of two numbers with evenly distributed bits. All routers compute the same hash.
+pub fn hash_pair(first: u64, second: u64) -> u64 {
+    let bits = (first ^ second.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let bits = (bits ^ (bits >> 31)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     bits ^ (bits >> 32)
 }
 
-/// A text as a number to mix.
+/// Returns a hash of a text. All routers compute the same hash.
 pub fn number(text: &str) -> u64 {
-    text.bytes().fold(0, |hash, byte| mix(hash, u64::from(byte)))
+    text.bytes().fold(0, |hash, byte| hash_pair(hash, u64::from(byte)))
 }
 
-/// Bits as a draw between 0 and 1.
-pub fn draw(bits: u64) -> f64 {
+/// Converts the bits of a hash to a fraction in [0, 1).
+pub fn hash_fraction(bits: u64) -> f64 {
     (bits >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A value and when it was seen; it fades exponentially from then on.
+/// A value that decays exponentially to 0 from the time of its last update.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fading {
+pub struct DecayingValue {
     value: f64,
-    at: Micros,
+    updated_at: Micros,
 }
 
-impl Fading {
-    /// A value as it is seen now.
-    pub fn seen(value: f64, now: Micros) -> Self {
-        Self { value, at: now }
+impl DecayingValue {
+    /// Creates a value that has been observed now.
+    pub fn observed(value: f64, now: Micros) -> Self {
+        Self { value, updated_at: now }
     }
 
-    /// It moved so much of the way to a value, from what is left of it.
-    pub fn toward(self, value: f64, step: f64, now: Micros, over_s: f64) -> Self {
-        let left = self.left(now, over_s);
-        Self::seen(left + step * (value - left), now)
+    /// Returns the decayed value, moved toward a new sample by the sample's weight.
+    pub fn toward(self, sample: f64, weight: f64, now: Micros, time_constant_s: f64) -> Self {
+        let decayed = self.decayed(now, time_constant_s);
+        Self::observed(decayed + weight * (sample - decayed), now)
     }
 
-    /// What is left of it, if all but a part of 1/e fades over so many seconds.
-    pub fn left(&self, now: Micros, over_s: f64) -> f64 {
-        self.value * (-seconds(now.saturating_sub(self.at)) / over_s).exp()
+    /// Returns the value after its decay until now. After each time constant, 1/e of the value remains.
+    pub fn decayed(&self, now: Micros, time_constant_s: f64) -> f64 {
+        self.value * (-seconds(now.saturating_sub(self.updated_at)) / time_constant_s).exp()
     }
 }
 
-/// The mean of a value over the time that it stood, of which the earlier counts less.
+/// The mean over time of a value that changes in steps. Earlier times have less weight.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct AgedMean {
+pub struct TimeWeightedMean {
     value: f64,
-    at: Micros,
-    /// Aged sums over time of one, and of the value.
+    updated_at: Micros,
+    /// Decayed integrals over time: first of 1, then of the value.
     sums: [f64; 2],
 }
 
-impl AgedMean {
-    /// What it is from now on; all but a part of 1/e of what was before ages over so many seconds.
-    pub fn hold(&mut self, now: Micros, value: f64, over_s: f64) {
-        let began = if self.at == 0 { now } else { self.at };
-        let span_s = seconds(now.saturating_sub(began));
-        let aged = (-span_s / over_s).exp();
+impl TimeWeightedMean {
+    /// Sets the value from now on. After each time constant, the weight of an earlier time falls to 1/e.
+    pub fn set(&mut self, now: Micros, value: f64, time_constant_s: f64) {
+        let previous_update = if self.updated_at == 0 { now } else { self.updated_at };
+        let elapsed_s = seconds(now.saturating_sub(previous_update));
+        let decay = (-elapsed_s / time_constant_s).exp();
         let [time, area] = self.sums;
-        self.sums = [time * aged + span_s, area * aged + self.value * span_s];
-        (self.value, self.at) = (value, now);
+        self.sums = [time * decay + elapsed_s, area * decay + self.value * elapsed_s];
+        (self.value, self.updated_at) = (value, now);
     }
 
-    /// The mean so far; 0 before any time has passed.
+    /// Returns the mean so far, or 0 before any time has passed.
     pub fn mean(&self) -> f64 {
         self.sums[1] / self.sums[0].max(1e-9)
     }
 }
 
-/// A level that leaks at a steady rate: how far what is counted runs ahead of it.
+/// A leaky bucket: its level rises with each counted event and falls at a constant rate.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeakyBucket {
     level: f64,
-    at: Micros,
+    updated_at: Micros,
 }
 
 impl LeakyBucket {
-    /// Counts one more, and gives the level.
+    /// Counts one event and returns the level. The level has fallen at the given rate per second.
     pub fn add(&mut self, now: Micros, rate: f64) -> f64 {
-        self.level = (self.level - rate * seconds(now.saturating_sub(self.at))).max(0.0) + 1.0;
-        self.at = now;
+        self.level = (self.level - rate * seconds(now.saturating_sub(self.updated_at))).max(0.0) + 1.0;
+        self.updated_at = now;
         self.level
     }
 }
 
-/// Failures in a row, and the end of a pause that doubles with each.
+/// The number of consecutive failures, and the end of a pause that doubles with each failure.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
-    /// How often it failed in a row.
-    pub fails: u32,
-    /// Until when the last pause lasts.
-    pub until: Micros,
+    /// Number of consecutive failures.
+    pub failures: u32,
+    /// End of the last pause.
+    pub paused_until: Micros,
 }
 
 impl Backoff {
-    /// One failure a pause: what fails together is one piece of news.
-    pub fn fail(&mut self, now: Micros, first: Micros, longest: Micros) {
-        if now >= self.until {
-            self.until = now + (first << self.fails.min(8)).min(longest);
-            self.fails += 1;
+    /// Records a failure and starts a pause. Only one failure counts
+    /// during a pause, because failures at the same time have one cause.
+    pub fn fail(&mut self, now: Micros, first_pause: Micros, max_pause: Micros) {
+        if now >= self.paused_until {
+            self.paused_until = now + (first_pause << self.failures.min(8)).min(max_pause);
+            self.failures += 1;
         }
     }
 }
 
-/// Times a running mean past which a value is cut.
-const OUTLIER: f64 = 10.0;
+/// Maximum sample of a running mean, as a multiple of the mean. Larger samples are limited to this.
+const MAX_SAMPLE_FACTOR: f64 = 10.0;
 
-/// A mean of what was learnt, in which a new value weighs a set part once there are enough.
+/// A running mean, in which a new sample has a fixed weight once there are enough samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunningMean {
     value: f64,
@@ -128,25 +129,27 @@
 }
 
 impl RunningMean {
-    /// Takes a value in; it counts for one of at most so many. Far past the mean it says nothing of its size.
-    pub fn learn(&mut self, value: f64, of: u32) {
-        let value = self.get().map_or(value, |mean| value.min(OUTLIER * mean));
-        self.count = (self.count + 1).min(of);
-        self.value += (value - self.value) / f64::from(self.count.max(1));
+    /// Adds a sample. The sample's weight is one part in the number of samples, which is limited to
+    /// `max_count`. A sample far above the mean is limited: its size says nothing about the usual size.
+    pub fn add_sample(&mut self, sample: f64, max_count: u32) {
+        let sample = self.get().map_or(sample, |mean| sample.min(MAX_SAMPLE_FACTOR * mean));
+        self.count = (self.count + 1).min(max_count);
+        self.value += (sample - self.value) / f64::from(self.count.max(1));
     }
 
-    /// The mean, if there is one.
+    /// Returns the mean, or `None` before the first sample.
     pub fn get(&self) -> Option<f64> {
         (self.count > 0).then_some(self.value)
     }
 }
 
-/// Amounts with their times, of which the latest are summed.
+/// Amounts with their times, for the sum of the amounts in a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct SlidingSum(VecDeque<(Micros, f64)>);
 
 impl SlidingSum {
-    /// Takes an amount in, and forgets what came before a time; times do not fall.
+    /// Adds an amount, and drops the amounts before `keep_since`.
+    /// The times of successive calls must not decrease.
     pub fn add(&mut self, at: Micros, amount: f64, keep_since: Micros) {
         while self.0.front().is_some_and(|(earliest, _)| *earliest < keep_since) {
             self.0.pop_front();
@@ -154,97 +157,99 @@
         self.0.push_back((at, amount));
     }
 
-    /// The sum of all from a time on.
-    pub fn since(&self, at: Micros) -> f64 {
-        let late = self.0.iter().rev().take_while(|(time, _)| *time >= at);
-        late.map(|(_, amount)| amount).sum()
+    /// Returns the sum of all amounts since the start of the window.
+    pub fn since(&self, window_start: Micros) -> f64 {
+        let in_window = self.0.iter().rev().take_while(|(time, _)| *time >= window_start);
+        in_window.map(|(_, amount)| amount).sum()
     }
 }
 
-/// Rounds of the solver for each sample: the terms may be nearly collinear, and few rounds leave it biased.
-const ROUNDS: u32 = 200;
+/// Iterations of the solver for each sample. The terms may be nearly
+/// collinear, so that few iterations would leave the weights biased.
+const SOLVER_ITERATIONS: u32 = 200;
 
-/// Least squares of a value on three terms, none of which has a weight below zero; older samples count less.
+/// Least squares of a value on three terms with non-negative weights. Older samples count less.
 #[derive(Debug, Default)]
-pub struct AgedLeastSquares {
-    /// Aged sums of the terms' products with each other and, last, with the value.
+pub struct DecayingLeastSquares {
+    /// Decayed sums of the products of the terms with each other and, in the last column, with the value.
     sums: [[f64; 4]; 3],
     weights: [f64; 3],
-    at: Micros,
+    updated_at: Micros,
 }
 
-impl AgedLeastSquares {
-    /// The terms' weights.
+impl DecayingLeastSquares {
+    /// Returns the weights of the terms.
     pub fn weights(&self) -> [f64; 3] {
         self.weights
     }
 
-    /// Takes a sample in; all earlier ones count for 1/e of what they did for each so many seconds since the last.
-    pub fn learn(&mut self, now: Micros, over_s: f64, terms: [f64; 3], value: f64) {
-        let age = (-seconds(now.saturating_sub(self.at)) / over_s).exp();
-        self.at = now;
-        let [a, b, c] = terms;
-        for (row, x) in self.sums.iter_mut().zip(terms) {
-            for (sum, y) in row.iter_mut().zip([a, b, c, value]) {
-                *sum = *sum * age + x * y;
+    /// Adds a sample. After each time constant, the weight of an earlier sample falls to 1/e.
+    pub fn add_sample(&mut self, now: Micros, time_constant_s: f64, terms: [f64; 3], value: f64) {
+        let decay = (-seconds(now.saturating_sub(self.updated_at)) / time_constant_s).exp();
+        self.updated_at = now;
+        let [first, second, third] = terms;
+        for (row, row_term) in self.sums.iter_mut().zip(terms) {
+            for (sum, column_term) in row.iter_mut().zip([first, second, third, value]) {
+                *sum = *sum * decay + row_term * column_term;
             }
         }
-        // Gauss-Seidel from the last weights.
-        for _ in 0..ROUNDS {
+        // Gauss-Seidel iterations, which start from the weights of the last sample.
+        for _ in 0..SOLVER_ITERATIONS {
             for i in 0..3 {
                 let row = self.sums[i];
-                let all: f64 = (0..3).map(|j| row[j] * self.weights[j]).sum();
-                let rest = row[3] - all + row[i] * self.weights[i];
-                self.weights[i] = (rest / row[i].max(1e-9)).max(0.0);
+                let fitted: f64 = (0..3).map(|j| row[j] * self.weights[j]).sum();
+                let residual = row[3] - fitted + row[i] * self.weights[i];
+                self.weights[i] = (residual / row[i].max(1e-9)).max(0.0);
             }
         }
     }
 }
 
-/// Weight of a new sample in the mean of what a fit is learnt from.
-const SAMPLE_STEP: f64 = 0.1;
+/// Weight of a new sample in the mean of the sampled quantities.
+const MEAN_QUANTITY_WEIGHT: f64 = 0.1;
 
-/// A value by a quantity: least squares on 1, the quantity and its square, and a guess until there are enough samples.
+/// A regression of a value on 1, a quantity and the square of the
+/// quantity. Initial weights apply until there are enough samples.
 #[derive(Debug, Default)]
-pub struct QuadraticFit {
-    squares: AgedLeastSquares,
+pub struct QuadraticRegression {
+    least_squares: DecayingLeastSquares,
     samples: u32,
-    mean: f64,
-    guess: [f64; 3],
-    guessed_for: u32,
+    mean_quantity: f64,
+    initial_weights: [f64; 3],
+    min_samples: u32,
 }
 
-impl QuadraticFit {
-    /// A fit whose weights are guessed for so many samples.
-    pub fn new(guess: [f64; 3], guessed_for: u32) -> Self {
-        Self { guess, guessed_for, ..Self::default() }
+impl QuadraticRegression {
+    /// Creates a regression that uses the initial weights until it has `min_samples` samples.
+    pub fn new(initial_weights: [f64; 3], min_samples: u32) -> Self {
+        Self { initial_weights, min_samples, ..Self::default() }
     }
 
-    /// Whether the weights are still guessed.
-    pub fn is_guess(&self) -> bool {
-        self.samples < self.guessed_for
+    /// Returns true while the initial weights apply.
+    pub fn has_initial_weights(&self) -> bool {
+        self.samples < self.min_samples
     }
 
-    /// The weights of 1, the quantity and its square.
+    /// Returns the weights of 1, the quantity and its square.
     pub fn weights(&self) -> [f64; 3] {
-        if self.is_guess() { self.guess } else { self.squares.weights() }
+        if self.has_initial_weights() { self.initial_weights } else { self.least_squares.weights() }
     }
 
-    /// The value for a quantity; never quite 0.
+    /// Returns the predicted value for a quantity, which is always above 0.
     pub fn predict(&self, quantity: f64) -> f64 {
-        let [a, b, c] = self.weights();
-        (a + b * quantity + c * quantity * quantity).max(0.001)
+        let [constant, linear, quadratic] = self.weights();
+        (constant + linear * quantity + quadratic * quantity * quantity).max(0.001)
     }
 
-    /// The mean of the quantities that were learnt from.
-    pub fn mean(&self) -> f64 {
-        self.mean
+    /// Returns the mean of the sampled quantities.
+    pub fn mean_quantity(&self) -> f64 {
+        self.mean_quantity
     }
 
-    /// Takes a sample in; the earlier ones age as those of [`AgedLeastSquares`].
-    pub fn learn(&mut self, now: Micros, over_s: f64, quantity: f64, value: f64) {
+    /// Adds a sample. The weight of earlier samples decays as in [`DecayingLeastSquares`].
+    pub fn add_sample(&mut self, now: Micros, time_constant_s: f64, quantity: f64, value: f64) {
         self.samples = self.samples.saturating_add(1);
-        self.mean += SAMPLE_STEP * (quantity - self.mean);
-        self.squares.learn(now, over_s, [1.0, quantity, quantity * quantity], value);
+        self.mean_quantity += MEAN_QUANTITY_WEIGHT * (quantity - self.mean_quantity);
+        self.least_squares.add_sample(now, time_constant_s, [1.0, quantity, quantity * quantity], value);
     }
 }
