--- a/examples/decision-cost/main.rs
+++ b/examples/decision-cost/main.rs
@@ -1,4 +1,5 @@
-//! Prints what one event costs the decision module, by engines listed and requests that wait.
+//! Measures the time that the decision module needs for one event, by
+//! the number of listed engines and the number of waiting requests.
 //!
 //!     cargo run --release --example decision-cost
 
@@ -7,8 +8,9 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A router as one of 350, with so many engines, a third of them readers, and requests that wait for writers.
-fn router(engines: u32, waiting: usize) -> Router {
+/// Returns one of 350 routers, with the given number of engines, a
+/// third of them readers, and with requests that wait for writers.
+fn router_with_queue(engines: u32, waiting: usize) -> Router {
     let settings = Settings {
         replicas: 350,
         roles: vec![Role::Read, Role::Write],
@@ -16,7 +18,7 @@
         classes: vec![Class { aim: 60_000_000, deadline: 300_000_000, ..Class::default() }],
         ..Settings::default()
     };
-    let mut router = Router::new(settings, 0).expect("lawful settings");
+    let mut router = Router::new(settings, 0).expect("valid settings");
     let entry = |n: u32| Entry {
         server: ServerId(n),
         kind: usize::from(!n.is_multiple_of(3)),
@@ -46,7 +48,7 @@
     println!("engines waiting microseconds an event");
     for engines in [100, 300, 1024] {
         for waiting in [0, 20, 400] {
-            let mut router = router(engines, waiting);
+            let mut router = router_with_queue(engines, waiting);
             const EVENTS: u64 = 200;
             let start = Instant::now();
             for n in 0..EVENTS {
