--- a/src/numeric.rs
+++ b/src/numeric.rs
@@ -90,7 +90,7 @@
 }
 
 impl LeakyBucket {
-    /// Counts one event and returns the level. The level has fallen at the given rate per second.
+    /// Counts one event and returns the new level. Since the last event, the level has fallen at `rate` per second.
     pub fn add(&mut self, now: Micros, rate: f64) -> f64 {
         self.level = (self.level - rate * seconds(now.saturating_sub(self.updated_at))).max(0.0) + 1.0;
         self.updated_at = now;
@@ -118,7 +118,7 @@
     }
 }
 
-/// Maximum sample of a running mean, as a multiple of the mean. Larger samples are limited to this.
+/// Maximum of a sample as a multiple of the running mean. Larger samples are reduced to the maximum.
 const MAX_SAMPLE_FACTOR: f64 = 10.0;
 
 /// A running mean, in which a new sample has a fixed weight once there are enough samples.
