--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,197 +1,200 @@
-//! A simulated fleet: many routers, servers that start slowly, clients that retry. One seed gives one course of events.
-#![allow(dead_code)] // each test file uses its own part
+//! A simulated fleet: many routers, servers in slow start, and clients that retry. A run is determined by its
+//! seed.
+#![allow(dead_code)] // each test file uses a different subset
 
 use crate::common::*;
 use meadowlug::interface::*;
 use std::collections::BTreeMap;
 
 pub const SECOND: Micros = 1_000_000;
-/// When the servers start that are watched.
-pub const START: Micros = 1_000 * SECOND;
-/// How long traffic runs before that.
-pub const LEAD: Micros = 8 * SECOND;
-/// The first writer; readers count from 0.
+/// Time at which the observed servers start.
+pub const RESTART_AT: Micros = 1_000 * SECOND;
+/// Duration of the traffic before the observed servers start.
+pub const TRAFFIC_LEAD_TIME: Micros = 8 * SECOND;
+/// Id of the first writer; reader ids start at 0.
 pub const FIRST_WRITER: u32 = 10_000;
-/// Tokens of a prompt where all are alike.
-const USUAL_PROMPT: f64 = 1_000.0;
-/// Shortest of the prompts that vary; the longest is ten times that.
-const SHORTEST_PROMPT: f64 = 400.0;
-/// Mean of what is spread evenly by logarithm over a factor of ten from the shortest on.
-const MEAN_VARIED_PROMPT: f64 = SHORTEST_PROMPT * 9.0 / std::f64::consts::LN_10;
-/// How long a connection to a server that is gone takes to be refused.
-const REFUSED_AFTER: Micros = 2_000;
-/// How long a connection to a machine that is gone stays unheard.
+/// Tokens of each prompt in a scenario without varied prompts.
+const TYPICAL_PROMPT_TOKENS: f64 = 1_000.0;
+/// Tokens of the shortest varied prompt; the longest has ten times as many.
+const MIN_VARIED_PROMPT_TOKENS: f64 = 400.0;
+/// Mean length of varied prompts, whose logarithm is uniform between the shortest and ten times that.
+const MEAN_VARIED_PROMPT_TOKENS: f64 = MIN_VARIED_PROMPT_TOKENS * 9.0 / std::f64::consts::LN_10;
+/// Time until a connection to a stopped server is refused.
+const CONNECTION_REFUSED_AFTER: Micros = 2_000;
+/// Time until a connection attempt to an unreachable machine times out.
 const DIAL_TIMEOUT: Micros = 250_000;
-/// Work in hand, in seconds, at which a server turns requests away.
-const QUEUE_S: f64 = 1.5;
-/// When settings change, where they do.
-const RELOAD: Micros = START + 3 * SECOND;
-/// How long an answer streams.
-const STREAM: Micros = 700_000;
-
-/// Which servers start anew, and with what around them.
+/// Seconds of queued work beyond which a server rejects requests.
+const MAX_QUEUE_S: f64 = 1.5;
+/// Time of the settings reload in scenarios that have one.
+const RELOAD_AT: Micros = RESTART_AT + 3 * SECOND;
+/// Duration of a streamed answer.
+const STREAM_DURATION: Micros = 700_000;
+
+/// Servers that restart, and the state of the rest of the fleet meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Restart {
     /// The first reader and the first writer.
-    One,
+    FirstServers,
     /// Every fourth server.
     Quarter,
     /// Every second server, as in a release.
     Half,
     /// All servers.
     All,
-    /// The first zone, after six seconds without it.
+    /// All servers of the first zone, after the zone was down for six seconds.
     Zone,
-    /// The first reader and writer; a second later all others are dead and still listed.
-    LastOnesLeft,
-    /// The first reader and writer, which start once more four seconds later.
+    /// The first reader and writer; a second later all other servers are dead but still listed.
+    OnlySurvivors,
+    /// The first reader and writer, which start a second time four seconds later.
     Twice,
 }
 
-/// Which conversations requests belong to.
+/// Distribution of requests over sessions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Sessions {
-    /// A conversation each.
-    Single,
-    /// Four turns in five belong to one of forty.
-    Turns,
-    /// Half of all belong to one of three.
+    /// Each request has a session of its own.
+    Unique,
+    /// Four requests in five belong to one of forty sessions.
+    MultiTurn,
+    /// Half of all requests belong to one of three sessions.
     Hot,
 }
 
-/// One way for things to go.
+/// Configuration of one simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     pub processes: u32,
     pub zones: u32,
     pub readers: u32,
     pub writers: u32,
-    /// Calls of mean work that a warm reader does in a second.
+    /// Calls of mean work that a warm reader completes per second.
     pub capacity: f64,
-    /// What comes, and what the tenants' shares tell, as parts of what the warm readers can do.
+    /// Offered load as a fraction of the warm readers' capacity.
     pub load: f64,
-    pub told: f64,
-    /// Part of all requests that the first process gets beside its own part.
-    pub uneven: f64,
+    /// Sum of the configured tenant quotas as a fraction of the warm readers' capacity.
+    pub quota_fraction: f64,
+    /// Fraction of all requests that the first process gets in addition to its equal part.
+    pub first_process_bias: f64,
     pub restart: Restart,
     pub sessions: Sessions,
-    /// Whether the work of prompts varies tenfold.
-    pub varied: bool,
-    /// By how much more comes, and the seconds after the start from which on and until when.
+    /// True if prompt lengths, and so the work of a call, vary by a factor of ten.
+    pub varied_prompts: bool,
+    /// Traffic burst: load factor, begin and end, both in seconds after the start.
     pub burst: (f64, f64, f64),
-    /// Whether the last zone dies with its processes a second after the start, and its clients go to the others.
-    pub zone_dies: bool,
-    /// Part of the processes that start together with the servers and know nothing of before.
-    pub restarted: f64,
-    /// Seconds over which the processes learn of the start.
-    pub learn_over_s: f64,
-    /// Part of sends that wait for a connection, for up to a dial's time-out.
-    pub late_dials: f64,
-    /// Part of sends whose connection breaks.
+    /// True if the last zone and its processes fail a second after the start; clients then use the other
+    /// zones.
+    pub zone_fails: bool,
+    /// Fraction of the processes that restart together with the servers, without any earlier state.
+    pub restarted_processes: f64,
+    /// Seconds over which the processes learn of a server start, each after a random delay.
+    pub discovery_delay_s: f64,
+    /// Fraction of sends that wait for a connection, at most for the dial timeout.
+    pub slow_connections: f64,
+    /// Fraction of sends whose connection is reset.
     pub resets: f64,
-    /// Whether settings change three seconds after the start.
+    /// Settings reload three seconds after the start, if any.
     pub reload: Option<Reload>,
-    pub reports: bool,
+    pub reports_memory: bool,
     pub cold_from: f64,
     pub warm_after_s: f64,
-    pub multiple: f64,
+    pub overload_factor: f64,
     pub window_s: f64,
-    /// Seconds from the start that are played.
-    pub for_s: f64,
+    /// Simulated seconds after the start.
+    pub duration_s: f64,
 }
 
-/// What a reload changes.
+/// Settings that a reload changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reload {
-    /// Half of the processes are gone: each counts for two.
-    Processes,
-    /// The shares fall to a half.
-    Shares,
-    /// Multiple and window fall, and warming up takes longer.
-    Rule,
+    /// The configured number of processes is halved, so each process takes twice its former part.
+    ProcessCount,
+    /// The tenant quotas are halved.
+    Quotas,
+    /// Overload factor and window are reduced, and the warm-up time is longer.
+    SlowStartRule,
 }
 
-pub const USUAL: Scenario = Scenario {
+pub const BASELINE: Scenario = Scenario {
     processes: 4,
     zones: 3,
     readers: 6,
     writers: 6,
     capacity: 5.0,
     load: 0.6,
-    told: 0.85,
-    uneven: 0.0,
-    restart: Restart::One,
-    sessions: Sessions::Single,
-    varied: false,
+    quota_fraction: 0.85,
+    first_process_bias: 0.0,
+    restart: Restart::FirstServers,
+    sessions: Sessions::Unique,
+    varied_prompts: false,
     burst: (1.0, 0.0, 0.0),
-    zone_dies: false,
-    restarted: 0.0,
-    learn_over_s: 0.0,
-    late_dials: 0.0,
+    zone_fails: false,
+    restarted_processes: 0.0,
+    discovery_delay_s: 0.0,
+    slow_connections: 0.0,
     resets: 0.0,
     reload: None,
-    reports: true,
+    reports_memory: true,
     cold_from: 0.25,
     warm_after_s: 13.0,
-    multiple: 2.5,
+    overload_factor: 2.5,
     window_s: 1.5,
-    for_s: 9.0,
+    duration_s: 9.0,
 };
 
-/// One call that reached a server.
+/// A call that reached a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
-    pub at: Micros,
-    /// In calls of mean work.
+    pub arrived_at: Micros,
+    /// Work of the call, as a multiple of the mean work.
     pub work: f64,
     pub process: u32,
     pub session: u64,
-    /// How many attempts of its request came before it.
+    /// Number of earlier attempts of the same request.
     pub attempt: u32,
-    /// Whether the process had been told of the server's start.
-    pub told: bool,
+    /// True if the process already knew of the server's last start.
+    pub start_known: bool,
 }
 
-/// What happened in one play.
+/// Result of one simulation.
 #[derive(Debug, Default)]
 pub struct Record {
     pub calls: BTreeMap<u32, Vec<Call>>,
-    pub asked: usize,
+    pub submitted: usize,
     pub served: usize,
     pub refused: usize,
     pub failed: usize,
-    /// Requests without a final answer at their end.
+    /// Requests that had no final answer when the client's deadline had passed.
     pub unanswered: usize,
 }
 
-/// An attempt on its way.
+/// One attempt of a simulated request.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     server: u32,
-    over: bool,
+    ended: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Request {
     process: u32,
-    ask: Arrival,
+    arrival: Arrival,
     attempts: Vec<Attempt>,
-    tries: u32,
-    /// Whether its answer has begun: no deadline applies any more.
-    begun: bool,
+    earlier_tries: u32,
+    /// True once the response has started; no deadline applies from then on.
+    response_started: bool,
     answered: bool,
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
+enum FleetEvent {
     Arrival,
     Retry(String),
-    Told(u32),
-    Tick(u32),
-    Reach { name: String, attempt: u32 },
-    First { name: String, attempt: u32 },
-    End { name: String, attempt: u32, status: Status },
-    ZoneDies,
+    StartDiscovered(u32),
+    TimerDue(u32),
+    ServerReached { name: String, attempt: u32 },
+    FirstToken { name: String, attempt: u32 },
+    AttemptEnd { name: String, attempt: u32, status: Status },
+    ZoneFailure,
     ProcessesRestart,
     Delist,
     Reload,
@@ -200,179 +203,186 @@
 struct Process {
     router: Harness,
     alive: bool,
-    /// Up to when starts are told to it.
-    knows: Micros,
+    /// The process knows of all server starts up to this time.
+    starts_known_until: Micros,
 }
 
-/// The fleet in play.
+/// State of a running simulation.
 pub struct Simulation {
     scenario: Scenario,
-    draws: fastrand::Rng,
+    rng: fastrand::Rng,
     now: Micros,
     processes: Vec<Process>,
-    /// Up to when each server is busy, in seconds.
-    servers: BTreeMap<u32, f64>,
+    /// Time until which each server is busy, in seconds.
+    busy_until_s: BTreeMap<u32, f64>,
     requests: BTreeMap<String, Request>,
-    queue: BTreeMap<(Micros, u64), Happening>,
-    next: u64,
-    names: u64,
+    queue: BTreeMap<(Micros, u64), FleetEvent>,
+    next_sequence: u64,
+    named_requests: u64,
     delisted: bool,
     record: Record,
 }
 
-/// When a server starts in a scenario, if it does.
-pub fn starts(scenario: &Scenario, server: u32) -> Vec<Micros> {
+/// Start times of a server in a scenario; empty if the server does not restart.
+pub fn start_times(scenario: &Scenario, server: u32) -> Vec<Micros> {
     let number = server % FIRST_WRITER;
-    let starts = match scenario.restart {
-        Restart::One | Restart::LastOnesLeft | Restart::Twice => number == 0,
+    let restarts = match scenario.restart {
+        Restart::FirstServers | Restart::OnlySurvivors | Restart::Twice => number == 0,
         Restart::Quarter => number.is_multiple_of(4),
         Restart::Half => number.is_multiple_of(2),
         Restart::All => true,
         Restart::Zone => number.is_multiple_of(scenario.zones),
     };
-    match (starts, scenario.restart) {
+    match (restarts, scenario.restart) {
         (false, _) => Vec::new(),
-        (true, Restart::Twice) => vec![START, START + 4 * SECOND],
-        (true, _) => vec![START],
+        (true, Restart::Twice) => vec![RESTART_AT, RESTART_AT + 4 * SECOND],
+        (true, _) => vec![RESTART_AT],
     }
 }
 
-/// When a server last started before a time, if it did.
+/// Last start of a server at or before the given time.
 fn last_start(scenario: &Scenario, server: u32, at: Micros) -> Option<Micros> {
-    starts(scenario, server).into_iter().rfind(|start| *start <= at)
+    start_times(scenario, server).into_iter().rfind(|start| *start <= at)
 }
 
-/// All servers, readers first.
-fn servers(scenario: &Scenario) -> impl Iterator<Item = u32> + use<> {
+/// Ids of all servers, readers first.
+fn server_ids(scenario: &Scenario) -> impl Iterator<Item = u32> + use<> {
     (0..scenario.readers).chain((0..scenario.writers).map(|n| FIRST_WRITER + n))
 }
 
-/// What a server can do at a time, in calls of mean work a second.
+/// Capacity of a server at the given time, in calls of mean work per second.
 pub fn capacity(scenario: &Scenario, server: u32, at: Micros) -> f64 {
-    let readers_do = scenario.capacity * f64::from(scenario.readers);
-    let warm =
-        if server < FIRST_WRITER { scenario.capacity } else { readers_do / f64::from(scenario.writers) };
+    let total_reader_capacity = scenario.capacity * f64::from(scenario.readers);
+    let warm = if server < FIRST_WRITER {
+        scenario.capacity
+    } else {
+        total_reader_capacity / f64::from(scenario.writers)
+    };
     let started = last_start(scenario, server, at);
     let age = started.map_or(1.0, |start| (at - start) as f64 / 1e6 / scenario.warm_after_s).min(1.0);
     warm * (scenario.cold_from + (1.0 - scenario.cold_from) * age)
 }
 
-/// What a server may get in a window that begins at a time, and that window's length.
+/// Budget of a server, in calls of mean work, for a window that begins at the given time, and the window's
+/// length.
 pub fn budget(scenario: &Scenario, server: u32, at: Micros) -> (f64, Micros) {
-    let ruled = |multiple: f64, window_s: f64| multiple * capacity(scenario, server, at) * window_s;
+    let rule_budget = |factor: f64, window_s: f64| factor * capacity(scenario, server, at) * window_s;
     let (calls, window_s) = match scenario.reload {
-        Some(Reload::Rule) if at >= RELOAD => (ruled(2.0, 1.0), 1.0),
-        _ => (ruled(scenario.multiple, scenario.window_s), scenario.window_s),
+        Some(Reload::SlowStartRule) if at >= RELOAD_AT => (rule_budget(2.0, 1.0), 1.0),
+        _ => (rule_budget(scenario.overload_factor, scenario.window_s), scenario.window_s),
     };
     (allowance(calls), (window_s * 1e6) as Micros)
 }
 
-/// N calls, and what is put down to chance.
+/// The given number of calls plus the tolerance for random variation.
 pub fn allowance(calls: f64) -> f64 {
     if calls < 30.0 { calls + 3.0 * calls.sqrt() + 3.0 } else { calls + 2.0 * calls.sqrt() + 2.0 }
 }
 
 impl Simulation {
-    /// Plays a scenario to its end.
-    pub fn play(scenario: Scenario, seed: u64) -> Record {
+    /// Runs a scenario to its end.
+    pub fn run(scenario: Scenario, seed: u64) -> Record {
         let mut simulation = Self {
             scenario,
-            draws: fastrand::Rng::with_seed(seed),
-            now: START - LEAD,
+            rng: fastrand::Rng::with_seed(seed),
+            now: RESTART_AT - TRAFFIC_LEAD_TIME,
             processes: Vec::new(),
-            servers: servers(&scenario).map(|id| (id, 0.0)).collect(),
+            busy_until_s: server_ids(&scenario).map(|id| (id, 0.0)).collect(),
             requests: BTreeMap::new(),
             queue: BTreeMap::new(),
-            next: 0,
-            names: 0,
+            next_sequence: 0,
+            named_requests: 0,
             delisted: false,
             record: Record::default(),
         };
-        simulation.begin();
-        let end = START + (scenario.for_s * 1e6) as Micros;
-        while let Some(((at, _), happening)) = simulation.queue.pop_first() {
-            if at > end {
+        simulation.set_up();
+        let end = RESTART_AT + (scenario.duration_s * 1e6) as Micros;
+        while let Some(((due_at, _), fleet_event)) = simulation.queue.pop_first() {
+            if due_at > end {
                 break;
             }
-            simulation.now = at;
-            simulation.happen(happening);
+            simulation.now = due_at;
+            simulation.dispatch(fleet_event);
         }
-        let open = simulation.requests.values().filter(|r| !r.answered && !r.begun);
+        let open = simulation.requests.values().filter(|r| !r.answered && !r.response_started);
         simulation.record.unanswered = open.filter(|r| simulation.is_overdue(r)).count();
         simulation.record
     }
 
     fn is_overdue(&self, request: &Request) -> bool {
-        let came: Micros = request.ask.id.0.split('@').nth(1).and_then(|at| at.parse().ok()).unwrap_or(0);
+        let arrived_at: Micros =
+            request.arrival.id.0.split('@').nth(1).and_then(|at| at.parse().ok()).unwrap_or(0);
         let alive = self.processes[request.process as usize].alive;
-        alive && came + request.ask.expires_in + 100_000 < self.now
+        alive && arrived_at + request.arrival.expires_in + 100_000 < self.now
     }
 
-    fn begin(&mut self) {
+    fn set_up(&mut self) {
         for number in 0..self.scenario.processes {
             let router = Harness::new(self.settings(number), &[]);
-            self.processes.push(Process { router, alive: true, knows: 0 });
-            self.tell(number);
+            self.processes.push(Process { router, alive: true, starts_known_until: 0 });
+            self.update_roster(number);
         }
-        self.at(self.now, Happening::Arrival);
-        self.at(START, Happening::ProcessesRestart);
+        self.schedule(self.now, FleetEvent::Arrival);
+        self.schedule(RESTART_AT, FleetEvent::ProcessesRestart);
         for number in 0..self.scenario.processes {
-            for start in [START, START + 4 * SECOND] {
-                let late = (self.draws.f64() * self.scenario.learn_over_s * 1e6) as Micros;
-                self.at(start + late, Happening::Told(number));
+            for start in [RESTART_AT, RESTART_AT + 4 * SECOND] {
+                let delay = (self.rng.f64() * self.scenario.discovery_delay_s * 1e6) as Micros;
+                self.schedule(start + delay, FleetEvent::StartDiscovered(number));
             }
         }
-        if self.scenario.zone_dies {
-            self.at(START + SECOND, Happening::ZoneDies);
+        if self.scenario.zone_fails {
+            self.schedule(RESTART_AT + SECOND, FleetEvent::ZoneFailure);
         }
-        if self.scenario.restart == Restart::LastOnesLeft || self.scenario.zone_dies {
-            self.at(START + 4 * SECOND, Happening::Delist);
+        if self.scenario.restart == Restart::OnlySurvivors || self.scenario.zone_fails {
+            self.schedule(RESTART_AT + 4 * SECOND, FleetEvent::Delist);
         }
         if self.scenario.reload.is_some() {
-            self.at(RELOAD, Happening::Reload);
+            self.schedule(RELOAD_AT, FleetEvent::Reload);
         }
     }
 
-    fn at(&mut self, at: Micros, happening: Happening) {
-        self.queue.insert((at, self.next), happening);
-        self.next += 1;
+    fn schedule(&mut self, due_at: Micros, fleet_event: FleetEvent) {
+        self.queue.insert((due_at, self.next_sequence), fleet_event);
+        self.next_sequence += 1;
     }
 
     fn settings(&self, process: u32) -> Settings {
         let scenario = &self.scenario;
-        let reloaded = scenario.reload.filter(|_| self.now >= RELOAD);
-        let (share, replicas) = match reloaded {
-            Some(Reload::Processes) => (1.0, (scenario.processes / 2).max(1)),
-            Some(Reload::Shares) => (0.5, scenario.processes),
+        let active_reload = scenario.reload.filter(|_| self.now >= RELOAD_AT);
+        let (quota_scale, replicas) = match active_reload {
+            Some(Reload::ProcessCount) => (1.0, (scenario.processes / 2).max(1)),
+            Some(Reload::Quotas) => (0.5, scenario.processes),
             _ => (1.0, scenario.processes),
         };
-        let ruled = reloaded == Some(Reload::Rule);
+        let rule_reloaded = active_reload == Some(Reload::SlowStartRule);
         Settings {
             replicas,
             zone: process % scenario.zones,
             memory_tokens: vec![1e9, 1e9, 1e9],
-            tenant_rates: vec![share * scenario.told * f64::from(scenario.readers) * scenario.capacity],
-            reports_memory: scenario.reports,
+            tenant_rates: vec![
+                quota_scale * scenario.quota_fraction * f64::from(scenario.readers) * scenario.capacity,
+            ],
+            reports_memory: scenario.reports_memory,
             cold_from: scenario.cold_from,
-            warm_after: (scenario.warm_after_s * if ruled { 1.5e6 } else { 1e6 }) as Micros,
-            overload_factor: if ruled { 2.0 } else { scenario.multiple },
-            fall_window: if ruled { SECOND } else { (scenario.window_s * 1e6) as Micros },
+            warm_after: (scenario.warm_after_s * if rule_reloaded { 1.5e6 } else { 1e6 }) as Micros,
+            overload_factor: if rule_reloaded { 2.0 } else { scenario.overload_factor },
+            fall_window: if rule_reloaded { SECOND } else { (scenario.window_s * 1e6) as Micros },
             ..settings()
         }
     }
 
-    /// Tells a process all that there is to tell by now.
-    fn tell(&mut self, number: u32) {
-        let entries = self.servers.keys().filter_map(|id| self.listed(*id)).collect();
+    /// Sends a process the full roster as of the current time.
+    fn update_roster(&mut self, number: u32) {
+        let entries = self.busy_until_s.keys().filter_map(|id| self.roster_entry(*id)).collect();
         let now = self.now;
         let process = &mut self.processes[number as usize];
-        process.knows = now;
+        process.starts_known_until = now;
         process.router.now = now;
         let actions = process.router.roster(entries);
-        self.act(number, actions);
+        self.carry_out(number, actions);
     }
 
-    fn listed(&self, id: u32) -> Option<Entry> {
+    fn roster_entry(&self, id: u32) -> Option<Entry> {
         if self.delisted && !self.is_up(id) {
             return None;
         }
@@ -384,256 +394,284 @@
 
     fn is_up(&self, id: u32) -> bool {
         let (scenario, number) = (&self.scenario, id % FIRST_WRITER);
-        let zone_is_gone =
-            scenario.zone_dies && number % scenario.zones == scenario.zones - 1 && self.now >= START + SECOND;
-        let before_its_start = scenario.restart == Restart::Zone
+        let zone_failed = scenario.zone_fails
+            && number % scenario.zones == scenario.zones - 1
+            && self.now >= RESTART_AT + SECOND;
+        let zone_still_down = scenario.restart == Restart::Zone
             && number.is_multiple_of(scenario.zones)
-            && (START - 6 * SECOND..START).contains(&self.now);
-        let one_of_the_others =
-            scenario.restart == Restart::LastOnesLeft && number != 0 && self.now >= START + SECOND;
-        !zone_is_gone && !before_its_start && !one_of_the_others
+            && (RESTART_AT - 6 * SECOND..RESTART_AT).contains(&self.now);
+        let is_lost_server =
+            scenario.restart == Restart::OnlySurvivors && number != 0 && self.now >= RESTART_AT + SECOND;
+        !zone_failed && !zone_still_down && !is_lost_server
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrival => self.arrive(),
-            Happening::Retry(name) => self.retry(&name),
-            Happening::Told(process) => self.tell(process),
-            Happening::Tick(process) => self.say(process, Event::Timer { token: 0 }),
-            Happening::Reach { name, attempt } => self.reach(&name, attempt),
-            Happening::First { name, attempt } => self.first(&name, attempt),
-            Happening::End { name, attempt, status } => self.end(&name, attempt, status),
-            Happening::ZoneDies => self.kill_last_zone(),
-            Happening::ProcessesRestart => self.restart_processes(),
-            Happening::Delist => self.delist(),
-            Happening::Reload => self.reload(),
+    fn dispatch(&mut self, fleet_event: FleetEvent) {
+        match fleet_event {
+            FleetEvent::Arrival => self.generate_arrival(),
+            FleetEvent::Retry(name) => self.retry_request(&name),
+            FleetEvent::StartDiscovered(process) => self.update_roster(process),
+            FleetEvent::TimerDue(process) => self.handle_event(process, Event::Timer { token: 0 }),
+            FleetEvent::ServerReached { name, attempt } => self.reach_server(&name, attempt),
+            FleetEvent::FirstToken { name, attempt } => self.deliver_first_token(&name, attempt),
+            FleetEvent::AttemptEnd { name, attempt, status } => self.end_attempt(&name, attempt, status),
+            FleetEvent::ZoneFailure => self.kill_last_zone(),
+            FleetEvent::ProcessesRestart => self.restart_processes(),
+            FleetEvent::Delist => self.delist(),
+            FleetEvent::Reload => self.reload(),
         }
     }
 
-    fn say(&mut self, process: u32, event: Event) {
+    fn handle_event(&mut self, process: u32, event: Event) {
         let now = self.now;
-        let of = &mut self.processes[process as usize];
-        if of.alive {
-            of.router.now = now;
-            let actions = of.router.handle(&[event]);
-            self.act(process, actions);
+        let target = &mut self.processes[process as usize];
+        if target.alive {
+            target.router.now = now;
+            let actions = target.router.handle(&[event]);
+            self.carry_out(process, actions);
         }
     }
 
     fn kill_last_zone(&mut self) {
         for number in 0..self.scenario.processes {
-            let dies = number % self.scenario.zones == self.scenario.zones - 1;
-            self.processes[number as usize].alive &= !dies;
+            let is_in_last_zone = number % self.scenario.zones == self.scenario.zones - 1;
+            self.processes[number as usize].alive &= !is_in_last_zone;
         }
     }
 
     fn restart_processes(&mut self) {
         for number in 0..self.scenario.processes {
-            if self.draws.f64() < self.scenario.restarted {
+            if self.rng.f64() < self.scenario.restarted_processes {
                 self.requests.retain(|_, request| request.process != number);
                 let settings = self.settings(number);
                 self.processes[number as usize].router = Harness::new(settings, &[]);
-                self.tell(number);
+                self.update_roster(number);
             }
         }
     }
 
     fn delist(&mut self) {
         self.delisted = true;
-        (0..self.scenario.processes).for_each(|number| self.tell(number));
+        (0..self.scenario.processes).for_each(|number| self.update_roster(number));
     }
 
     fn reload(&mut self) {
         for number in 0..self.scenario.processes {
             let settings = self.settings(number);
-            self.say(number, Event::Settings(settings));
+            self.handle_event(number, Event::Settings(settings));
         }
     }
 
-    /// A process that a client's connection leads to.
-    fn front(&mut self) -> u32 {
+    /// Picks the process that a client connects to.
+    fn pick_process(&mut self) -> u32 {
         loop {
-            let any = self.draws.u32(0..self.scenario.processes);
-            let number = if self.draws.f64() < self.scenario.uneven { 0 } else { any };
+            let random_process = self.rng.u32(0..self.scenario.processes);
+            let number = if self.rng.f64() < self.scenario.first_process_bias { 0 } else { random_process };
             if self.processes[number as usize].alive {
                 return number;
             }
         }
     }
 
-    fn arrive(&mut self) {
+    fn generate_arrival(&mut self) {
         let scenario = self.scenario;
-        let (more, from_s, to_s) = scenario.burst;
-        let since_start_s = self.now as f64 / 1e6 - START as f64 / 1e6;
-        let burst = if (from_s..to_s).contains(&since_start_s) { more } else { 1.0 };
-        let rate = scenario.load * burst * f64::from(scenario.readers) * scenario.capacity;
-        let gap_s = -(1.0 - self.draws.f64()).ln() / rate;
-        self.at(self.now + (gap_s * 1e6) as Micros + 1, Happening::Arrival);
+        let (burst_load, burst_from_s, burst_to_s) = scenario.burst;
+        let since_start_s = self.now as f64 / 1e6 - RESTART_AT as f64 / 1e6;
+        let load_factor = if (burst_from_s..burst_to_s).contains(&since_start_s) { burst_load } else { 1.0 };
+        let rate = scenario.load * load_factor * f64::from(scenario.readers) * scenario.capacity;
+        let gap_s = -(1.0 - self.rng.f64()).ln() / rate;
+        self.schedule(self.now + (gap_s * 1e6) as Micros + 1, FleetEvent::Arrival);
         let session = match scenario.sessions {
-            Sessions::Turns if self.draws.f64() < 0.8 => format!("turns {}", self.draws.u32(0..40)),
-            Sessions::Hot if self.draws.f64() < 0.5 => format!("hot {}", self.draws.u32(0..3)),
-            _ => format!("once {}", self.next),
+            Sessions::MultiTurn if self.rng.f64() < 0.8 => format!("turns {}", self.rng.u32(0..40)),
+            Sessions::Hot if self.rng.f64() < 0.5 => format!("hot {}", self.rng.u32(0..3)),
+            _ => format!("once {}", self.next_sequence),
+        };
+        let prompt_tokens = if scenario.varied_prompts {
+            MIN_VARIED_PROMPT_TOKENS * 10f64.powf(self.rng.f64())
+        } else {
+            TYPICAL_PROMPT_TOKENS
         };
-        let prompt_tokens =
-            if scenario.varied { SHORTEST_PROMPT * 10f64.powf(self.draws.f64()) } else { USUAL_PROMPT };
-        let beginning = (60f64.powf(self.draws.f64())) as u32;
-        let ask = Arrival {
+        let prefix_number = (60f64.powf(self.rng.f64())) as u32;
+        let new_arrival = Arrival {
             session: Some(session.as_str().into()),
-            prefix: Some(format!("beginning {beginning}").as_str().into()),
+            prefix: Some(format!("beginning {prefix_number}").as_str().into()),
             prefix_tokens: prompt_tokens.min(300.0),
             prompt_tokens,
             ..arrival("")
         };
-        self.record.asked += 1;
-        self.ask(ask, 0);
+        self.record.submitted += 1;
+        self.submit(new_arrival, 0);
     }
 
-    fn ask(&mut self, ask: Arrival, tries: u32) {
-        let process = self.front();
-        self.names += 1;
-        let name = format!("r{}@{}", self.names, self.now);
-        let ask = Arrival { id: id(&name), ..ask };
-        let request =
-            Request { process, ask: ask.clone(), attempts: Vec::new(), tries, begun: false, answered: false };
+    fn submit(&mut self, template: Arrival, earlier_tries: u32) {
+        let process = self.pick_process();
+        self.named_requests += 1;
+        let name = format!("r{}@{}", self.named_requests, self.now);
+        let named_arrival = Arrival { id: id(&name), ..template };
+        let request = Request {
+            process,
+            arrival: named_arrival.clone(),
+            attempts: Vec::new(),
+            earlier_tries,
+            response_started: false,
+            answered: false,
+        };
         self.requests.insert(name, request);
-        self.say(process, Event::Request(ask));
+        self.handle_event(process, Event::Request(named_arrival));
     }
 
-    fn retry(&mut self, name: &str) {
+    fn retry_request(&mut self, name: &str) {
         let Some(request) = self.requests.remove(name) else { return };
-        self.ask(request.ask, request.tries + 1);
+        self.submit(request.arrival, request.earlier_tries + 1);
     }
 
-    fn act(&mut self, process: u32, actions: Vec<Action>) {
+    fn carry_out(&mut self, process: u32, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { id, server, .. } => self.send(&id.0, server.0),
                 Action::Cancel { id, attempt } => {
                     let name = id.0.to_string();
-                    self.at(self.now + 1, Happening::End { name, attempt, status: Status::Cancelled });
+                    self.schedule(
+                        self.now + 1,
+                        FleetEvent::AttemptEnd { name, attempt, status: Status::Cancelled },
+                    );
                 }
-                Action::Refuse { id, retry_after, .. } => self.refused(&id.0, retry_after),
-                Action::Fail { id, .. } => self.answered(&id.0, |record| &mut record.failed),
-                Action::Timer { after, .. } => self.at(self.now + after, Happening::Tick(process)),
+                Action::Refuse { id, retry_after, .. } => self.record_refusal(&id.0, retry_after),
+                Action::Fail { id, .. } => self.record_answer(&id.0, |record| &mut record.failed),
+                Action::Timer { after, .. } => self.schedule(self.now + after, FleetEvent::TimerDue(process)),
                 Action::Probe { .. } | Action::Release { .. } | Action::Watch => {}
             }
         }
     }
 
-    fn answered(&mut self, name: &str, counter: impl Fn(&mut Record) -> &mut usize) {
+    fn record_answer(&mut self, name: &str, counter: impl Fn(&mut Record) -> &mut usize) {
         let Some(request) = self.requests.get_mut(name) else { return };
         request.answered = true;
         *counter(&mut self.record) += 1;
     }
 
-    fn refused(&mut self, name: &str, retry_after: Micros) {
-        self.answered(name, |record| &mut record.refused);
-        let again = self.requests.get(name).is_some_and(|r| r.tries < 2) && self.draws.f64() < 0.6;
-        if again {
-            self.at(self.now + retry_after, Happening::Retry(name.to_owned()));
+    fn record_refusal(&mut self, name: &str, retry_after: Micros) {
+        self.record_answer(name, |record| &mut record.refused);
+        let client_retries =
+            self.requests.get(name).is_some_and(|r| r.earlier_tries < 2) && self.rng.f64() < 0.6;
+        if client_retries {
+            self.schedule(self.now + retry_after, FleetEvent::Retry(name.to_owned()));
         }
     }
 
     fn send(&mut self, name: &str, server: u32) {
-        let waits = if self.draws.f64() < self.scenario.late_dials { self.draws.f64() } else { 0.0 };
-        let delay = (waits * 0.95 * DIAL_TIMEOUT as f64) as Micros + 300;
+        let connection_wait =
+            if self.rng.f64() < self.scenario.slow_connections { self.rng.f64() } else { 0.0 };
+        let delay = (connection_wait * 0.95 * DIAL_TIMEOUT as f64) as Micros + 300;
         let Some(request) = self.requests.get_mut(name) else { return };
         let attempt = request.attempts.len() as u32;
-        request.attempts.push(Attempt { server, over: false });
-        self.at(self.now + delay, Happening::Reach { name: name.to_owned(), attempt });
+        request.attempts.push(Attempt { server, ended: false });
+        self.schedule(self.now + delay, FleetEvent::ServerReached { name: name.to_owned(), attempt });
     }
 
-    fn reach(&mut self, name: &str, attempt: u32) {
-        let Some(request) = self.requests.get(name).filter(|r| !r.attempts[attempt as usize].over) else {
+    fn reach_server(&mut self, name: &str, attempt: u32) {
+        let Some(request) = self.requests.get(name).filter(|r| !r.attempts[attempt as usize].ended) else {
             return;
         };
         let (server, process, prompt) =
-            (request.attempts[attempt as usize].server, request.process, request.ask.prompt_tokens);
-        let end = |status| Happening::End { name: name.to_owned(), attempt, status };
+            (request.attempts[attempt as usize].server, request.process, request.arrival.prompt_tokens);
+        let attempt_end = |status| FleetEvent::AttemptEnd { name: name.to_owned(), attempt, status };
         if !self.is_up(server) {
-            let unheard = self.draws.bool();
-            let after = if unheard { DIAL_TIMEOUT } else { REFUSED_AFTER };
-            return self.at(self.now + after, end(Status::NoConnection));
+            let times_out = self.rng.bool();
+            let after = if times_out { DIAL_TIMEOUT } else { CONNECTION_REFUSED_AFTER };
+            return self.schedule(self.now + after, attempt_end(Status::NoConnection));
         }
-        let work = prompt / if self.scenario.varied { MEAN_VARIED_PROMPT } else { USUAL_PROMPT };
+        let work = prompt
+            / if self.scenario.varied_prompts { MEAN_VARIED_PROMPT_TOKENS } else { TYPICAL_PROMPT_TOKENS };
         let start = last_start(&self.scenario, server, self.now);
-        let told = start.is_none_or(|start| self.processes[process as usize].knows >= start);
-        let session = request.ask.session.as_deref().map_or(0, meadowlug::numeric::number);
-        let call = Call { at: self.now, work, process, session, attempt, told };
+        let start_known =
+            start.is_none_or(|start| self.processes[process as usize].starts_known_until >= start);
+        let session = request.arrival.session.as_deref().map_or(0, meadowlug::numeric::number);
+        let call = Call { arrived_at: self.now, work, process, session, attempt, start_known };
         self.record.calls.entry(server).or_default().push(call);
-        if self.draws.f64() < self.scenario.resets {
-            return self.at(self.now + 5_000, end(Status::Reset));
+        if self.rng.f64() < self.scenario.resets {
+            return self.schedule(self.now + 5_000, attempt_end(Status::Reset));
         }
         let now_s = self.now as f64 / 1e6;
-        let begins_s = self.servers[&server].max(now_s);
-        if begins_s - now_s > QUEUE_S {
-            return self.at(self.now + 1_000, end(Status::Full));
+        let begins_at_s = self.busy_until_s[&server].max(now_s);
+        if begins_at_s - now_s > MAX_QUEUE_S {
+            return self.schedule(self.now + 1_000, attempt_end(Status::Full));
         }
-        let done_s = begins_s + work / capacity(&self.scenario, server, self.now);
-        self.servers.insert(server, done_s);
-        let done = (done_s * 1e6) as Micros;
+        let finished_at_s = begins_at_s + work / capacity(&self.scenario, server, self.now);
+        self.busy_until_s.insert(server, finished_at_s);
+        let finished_at = (finished_at_s * 1e6) as Micros;
         if server < FIRST_WRITER {
-            self.at(done, end(Status::Read));
+            self.schedule(finished_at, attempt_end(Status::Read));
         } else {
-            self.at(done, Happening::First { name: name.to_owned(), attempt });
-            self.at(done + STREAM, end(Status::Served));
+            self.schedule(finished_at, FleetEvent::FirstToken { name: name.to_owned(), attempt });
+            self.schedule(finished_at + STREAM_DURATION, attempt_end(Status::Served));
         }
     }
 
-    fn first(&mut self, name: &str, attempt: u32) {
-        let Some(request) = self.requests.get_mut(name).filter(|r| !r.attempts[attempt as usize].over) else {
+    fn deliver_first_token(&mut self, name: &str, attempt: u32) {
+        let Some(request) = self.requests.get_mut(name).filter(|r| !r.attempts[attempt as usize].ended)
+        else {
             return;
         };
-        request.begun = true;
+        request.response_started = true;
         let process = request.process;
-        self.say(process, Event::First { id: id(name), attempt });
+        self.handle_event(process, Event::First { id: id(name), attempt });
     }
 
-    fn end(&mut self, name: &str, attempt: u32, status: Status) {
+    fn end_attempt(&mut self, name: &str, attempt: u32, status: Status) {
         let Some(request) = self.requests.get_mut(name) else { return };
-        let Some(out) = request.attempts.get_mut(attempt as usize).filter(|a| !a.over) else { return };
-        out.over = true;
+        let Some(ended_attempt) = request.attempts.get_mut(attempt as usize).filter(|a| !a.ended) else {
+            return;
+        };
+        ended_attempt.ended = true;
         let (process, finished) = (request.process, status == Status::Served);
         if finished {
-            self.answered(name, |record| &mut record.served);
+            self.record_answer(name, |record| &mut record.served);
         }
         let outcome = Outcome { id: id(name), attempt, status, finished, note: 0.0, load: Load::default() };
-        self.say(process, Event::Outcome(outcome));
+        self.handle_event(process, Event::Outcome(outcome));
     }
 }
 
-/// A window in which a server in slow start got more than its budget.
+/// A window in which a server in slow start received more work than its budget.
 #[derive(Clone, Debug)]
-#[allow(dead_code)] // read by the message of a failed test
+#[allow(dead_code)] // printed by a failing test
 pub struct Overload {
     pub server: u32,
     pub after_start_s: f64,
     pub work: f64,
     pub budget: f64,
-    /// Calls by process, the most of one session, and those that were not their request's first attempt in its stage.
+    /// Number of calls by process.
     pub by_process: BTreeMap<u32, usize>,
-    pub of_one_session: usize,
-    pub further_attempts: usize,
+    /// Maximum number of calls of one session.
+    pub max_calls_per_session: usize,
+    /// Number of calls that were not the request's first attempt in its stage (prefill or decode).
+    pub repeated_attempts: usize,
 }
 
-/// The worst window of each server that passed its budget while it started, two thirds of it from processes that knew.
+/// The worst window of each server that exceeded its budget during slow start. Only windows count in which at
+/// least two thirds of the work came from processes that knew of the server's start.
 pub fn overloads(scenario: &Scenario, record: &Record) -> Vec<Overload> {
-    let slow = |(server, calls): (&u32, &Vec<Call>)| {
-        let window = |first: usize| {
-            let at = calls[first].at;
-            let start = last_start(scenario, *server, at)?;
-            let after_start_s = (at - start) as f64 / 1e6;
-            let (budget, length) = budget(scenario, *server, at);
-            let within: Vec<_> = calls[first..].iter().take_while(|call| call.at < at + length).collect();
-            let work: f64 = within.iter().map(|call| call.work).sum();
-            let by_told: f64 = within.iter().filter(|call| call.told).map(|call| call.work).sum();
-            let over = after_start_s < scenario.warm_after_s && work > budget && by_told * 3.0 >= work * 2.0;
-            over.then(|| overload(*server, after_start_s, budget, &within))
+    let worst_overload = |(server, calls): (&u32, &Vec<Call>)| {
+        let overloaded_window = |first: usize| {
+            let window_start = calls[first].arrived_at;
+            let start = last_start(scenario, *server, window_start)?;
+            let after_start_s = (window_start - start) as f64 / 1e6;
+            let (window_budget, length) = budget(scenario, *server, window_start);
+            let window_calls: Vec<_> =
+                calls[first..].iter().take_while(|call| call.arrived_at < window_start + length).collect();
+            let work: f64 = window_calls.iter().map(|call| call.work).sum();
+            let informed_work: f64 =
+                window_calls.iter().filter(|call| call.start_known).map(|call| call.work).sum();
+            let is_over_budget = after_start_s < scenario.warm_after_s
+                && work > window_budget
+                && informed_work * 3.0 >= work * 2.0;
+            is_over_budget.then(|| overload(*server, after_start_s, window_budget, &window_calls))
         };
-        let all = (0..calls.len()).filter_map(window);
-        all.max_by(|a, b| (a.work - a.budget).total_cmp(&(b.work - b.budget)))
+        let windows_over_budget = (0..calls.len()).filter_map(overloaded_window);
+        windows_over_budget
+            .max_by(|left, right| (left.work - left.budget).total_cmp(&(right.work - right.budget)))
     };
-    record.calls.iter().filter_map(slow).collect()
+    record.calls.iter().filter_map(worst_overload).collect()
 }
 
 fn overload(server: u32, after_start_s: f64, budget: f64, calls: &[&Call]) -> Overload {
@@ -649,21 +687,23 @@
         work: calls.iter().map(|call| call.work).sum(),
         budget,
         by_process,
-        of_one_session: by_session.into_values().max().unwrap_or(0),
-        further_attempts: calls.iter().filter(|call| call.attempt > stage).count(),
+        max_calls_per_session: by_session.into_values().max().unwrap_or(0),
+        repeated_attempts: calls.iter().filter(|call| call.attempt > stage).count(),
     }
 }
 
-/// What servers in slow start got, and the sum of N over as many windows as they were played for.
-pub fn used(scenario: &Scenario, record: &Record) -> (f64, f64) {
+/// Work that servers in slow start received, and the sum of their regular calls over all simulated windows.
+pub fn work_and_regular_calls(scenario: &Scenario, record: &Record) -> (f64, f64) {
     let mut sums = (0.0, 0.0);
-    for server in servers(scenario).filter(|id| !starts(scenario, *id).is_empty()) {
+    for server in server_ids(scenario).filter(|id| !start_times(scenario, *id).is_empty()) {
         let calls = record.calls.get(&server).into_iter().flatten();
-        sums.0 += calls.filter(|call| call.at >= START).map(|call| call.work).sum::<f64>();
-        let windows = (scenario.for_s / scenario.window_s) as u64;
-        let window_at = |n: u64| START + n * (scenario.window_s * 1e6) as Micros;
-        let ruled = |n: u64| scenario.multiple * capacity(scenario, server, window_at(n)) * scenario.window_s;
-        sums.1 += (0..windows).map(ruled).sum::<f64>();
+        sums.0 += calls.filter(|call| call.arrived_at >= RESTART_AT).map(|call| call.work).sum::<f64>();
+        let windows = (scenario.duration_s / scenario.window_s) as u64;
+        let window_at = |window: u64| RESTART_AT + window * (scenario.window_s * 1e6) as Micros;
+        let regular_calls = |window: u64| {
+            scenario.overload_factor * capacity(scenario, server, window_at(window)) * scenario.window_s
+        };
+        sums.1 += (0..windows).map(regular_calls).sum::<f64>();
     }
     sums
 }
