--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core by itself, with engines that are neither sockets nor HTTP.
+//! The gateway core in isolation, with in-memory engines instead of sockets and HTTP.
 
 use bytes::Bytes;
 use meadowlug::gateway::*;
@@ -12,151 +12,164 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// An answer that is all there, has no end, or stops short and says nothing more.
-struct Pieces {
-    left: VecDeque<Bytes>,
+/// An event stream that yields the remaining events and then ends, or continues without end, or hangs.
+struct ScriptedEvents {
+    remaining: VecDeque<Bytes>,
     endless: bool,
     hangs: bool,
 }
 
-impl EventStream for Pieces {
+impl EventStream for ScriptedEvents {
     fn poll_event(&mut self, _: &mut Context<'_>) -> Poll<Option<Result<Bytes, AttemptError>>> {
-        let more = || Bytes::from_static(b"c");
-        if self.hangs && self.left.is_empty() {
+        let endless_event = || Bytes::from_static(b"c");
+        if self.hangs && self.remaining.is_empty() {
             return Poll::Pending;
         }
-        Poll::Ready(self.left.pop_front().or_else(|| self.endless.then(more)).map(Ok))
+        Poll::Ready(self.remaining.pop_front().or_else(|| self.endless.then(endless_event)).map(Ok))
     }
 }
 
-/// Engines whose connections come up when the test lets them; they note what was written where.
+/// Fake engines whose connections are established when the test allows it; they record the endpoint of each
+/// call.
 #[derive(Clone, Default)]
-struct Fake {
-    connects: Rc<Cell<bool>>,
+struct FakeEngines {
+    /// True if connections are established at once; otherwise they wait for `connections_allowed`.
+    connects_at_once: Rc<Cell<bool>>,
     endless: bool,
     hangs: bool,
-    connected: Rc<Notify>,
-    called: Rc<RefCell<Vec<String>>>,
-    written: Rc<RefCell<Vec<String>>>,
-    /// Where releases were answered; an engine whose name ends so is cut off and answers none.
-    released: Rc<RefCell<Vec<String>>>,
-    cut_off: Option<char>,
-    /// How many writers' connections are still to fail to come up.
-    unheard: Rc<Cell<usize>>,
-    /// How many writers' answers are still to be lost; no connection comes up for a while after that.
-    breaks: Rc<Cell<usize>>,
-    /// Reads and releases in the order in which they came to an engine.
-    order: Rc<RefCell<Vec<&'static str>>>,
-    /// Whether writers' connections have fallen silent: what is written to them brings no answer, and no error.
+    connections_allowed: Rc<Notify>,
+    called_endpoints: Rc<RefCell<Vec<String>>>,
+    written_endpoints: Rc<RefCell<Vec<String>>>,
+    /// Endpoints that answered a release.
+    released_endpoints: Rc<RefCell<Vec<String>>>,
+    /// Engines whose endpoint ends with this character are unreachable and answer no release.
+    unreachable_suffix: Option<char>,
+    /// Number of further connection attempts to writers that will time out.
+    writer_dial_timeouts: Rc<Cell<usize>>,
+    /// Number of further responses of writers that will be reset. After a reset no connection is established
+    /// until the test allows it again.
+    writer_resets: Rc<Cell<usize>>,
+    /// Reads, writes and releases in the order in which the engines received them.
+    operations: Rc<RefCell<Vec<&'static str>>>,
+    /// True while writers' connections are silent: a written request gets neither a response nor an error.
     silent_writers: Rc<Cell<bool>>,
-    /// Which were probed, and the memory share that they tell.
-    probed: Rc<RefCell<Vec<String>>>,
-    share: Option<f64>,
+    /// Endpoints that were probed.
+    probed_endpoints: Rc<RefCell<Vec<String>>>,
+    /// Memory share that a probed engine reports; without it, probes are never answered.
+    reported_memory_share: Option<f64>,
 }
 
-impl Engines for Fake {
+impl Engines for FakeEngines {
     type Job = &'static str;
-    type Events = Pieces;
+    type Events = ScriptedEvents;
 
     fn call(
         &self,
         call: Call<&'static str>,
-    ) -> impl Future<Output = Result<Replied<Pieces>, AttemptError>> + 'static {
+    ) -> impl Future<Output = Result<Replied<ScriptedEvents>, AttemptError>> + 'static {
         let fake = self.clone();
         async move {
-            fake.called.borrow_mut().push(call.endpoint.to_string());
-            if !fake.connects.get() {
-                fake.connected.notified().await;
+            fake.called_endpoints.borrow_mut().push(call.endpoint.to_string());
+            if !fake.connects_at_once.get() {
+                fake.connections_allowed.notified().await;
             }
             if call.guard.refusal().is_some() {
-                return Err(AttemptError::new(Progress::Withdrawn, "drains"));
+                return Err(AttemptError::new(Progress::Withdrawn, "the engine drains"));
             }
-            let reader = call.endpoint.starts_with('r');
-            if !reader && fake.unheard.get() > 0 {
-                fake.unheard.set(fake.unheard.get() - 1);
+            let is_reader = call.endpoint.starts_with('r');
+            if !is_reader && fake.writer_dial_timeouts.get() > 0 {
+                fake.writer_dial_timeouts.set(fake.writer_dial_timeouts.get() - 1);
                 tokio::time::sleep(Duration::from_millis(250)).await;
                 return Err(AttemptError::new(Progress::Unconnected, "no connection in time"));
             }
-            fake.order.borrow_mut().push(if reader { "read" } else { "write" });
-            fake.written.borrow_mut().push(call.endpoint.to_string());
-            while !reader && fake.silent_writers.get() {
+            fake.operations.borrow_mut().push(if is_reader { "read" } else { "write" });
+            fake.written_endpoints.borrow_mut().push(call.endpoint.to_string());
+            while !is_reader && fake.silent_writers.get() {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
-            if !reader && fake.breaks.get() > 0 {
-                fake.breaks.set(fake.breaks.get() - 1);
-                fake.connects.set(false);
+            if !is_reader && fake.writer_resets.get() > 0 {
+                fake.writer_resets.set(fake.writer_resets.get() - 1);
+                fake.connects_at_once.set(false);
                 return Err(AttemptError::new(Progress::Written, "reset"));
             }
-            let left = VecDeque::from([Bytes::from_static(b"a"), Bytes::from_static(b"b")]);
-            let events = || Pieces { left, endless: fake.endless, hangs: fake.hangs };
-            let reply = if reader { Reply::Read { cached_tokens: 0.0 } } else { Reply::Events(events()) };
+            let remaining = VecDeque::from([Bytes::from_static(b"a"), Bytes::from_static(b"b")]);
+            let events = || ScriptedEvents { remaining, endless: fake.endless, hangs: fake.hangs };
+            let reply = if is_reader { Reply::Read { cached_tokens: 0.0 } } else { Reply::Events(events()) };
             Ok(Replied { reply, load: Load::default(), connected: tokio::time::Instant::now() })
         }
     }
 
     fn release(
         &self,
-        at: Arc<str>,
+        endpoint: Arc<str>,
         _: RequestId,
     ) -> impl Future<Output = Result<(), AttemptError>> + 'static {
         let fake = self.clone();
         async move {
-            if fake.cut_off.is_some_and(|end| at.ends_with(end)) {
+            if fake.unreachable_suffix.is_some_and(|suffix| endpoint.ends_with(suffix)) {
                 std::future::pending::<()>().await;
             }
-            fake.released.borrow_mut().push(at.to_string());
-            fake.order.borrow_mut().push("release");
+            fake.released_endpoints.borrow_mut().push(endpoint.to_string());
+            fake.operations.borrow_mut().push("release");
             Ok(())
         }
     }
 
-    fn probe(&self, at: Arc<str>) -> impl Future<Output = Result<Load, AttemptError>> + 'static {
-        self.probed.borrow_mut().push(at.to_string());
-        let told = self.share.map(|share| Load { memory_share: Some(share), ..Load::default() });
+    fn probe(&self, endpoint: Arc<str>) -> impl Future<Output = Result<Load, AttemptError>> + 'static {
+        self.probed_endpoints.borrow_mut().push(endpoint.to_string());
+        let report =
+            self.reported_memory_share.map(|share| Load { memory_share: Some(share), ..Load::default() });
         async move {
-            // One that is not to tell is silent.
-            if told.is_none() {
+            // An engine without a configured report never answers.
+            if report.is_none() {
                 std::future::pending::<()>().await;
             }
-            Ok(told.unwrap_or_default())
+            Ok(report.unwrap_or_default())
         }
     }
 
     fn forget(&self, _: &str) {}
 }
 
-fn listed(number: u32, kind: usize, endpoint: &str, condition: Condition) -> Listed {
+fn listed_engine(number: u32, kind: usize, endpoint: &str, condition: Condition) -> Listed {
     let entry = Entry { server: ServerId(number), kind, condition, ..Entry::default() };
     Listed { entry, name: number.to_string().into(), endpoint: Arc::from(endpoint) }
 }
 
-fn change(form: RosterForm, engines: Vec<Listed>) -> Change {
+fn roster_change(form: RosterForm, engines: Vec<Listed>) -> Change {
     Change { revision: 1, news: News::Roster { form, engines } }
 }
 
-fn started(fake: &Fake) -> Gateway<Fake> {
-    started_where(fake, true)
+fn start_gateway(fake: &FakeEngines) -> Gateway<FakeEngines> {
+    start_gateway_with_cancellation(fake, true)
 }
 
-/// A gateway that may call attempts off, or not.
-fn started_where(fake: &Fake, may_cancel: bool) -> Gateway<Fake> {
-    started_with(fake, Settings { may_cancel, ..Settings::default() })
+/// Starts a gateway that may or may not cancel attempts.
+fn start_gateway_with_cancellation(fake: &FakeEngines, may_cancel: bool) -> Gateway<FakeEngines> {
+    start_gateway_with_settings(fake, Settings { may_cancel, ..Settings::default() })
 }
 
-/// A gateway of these settings, with one class unless they have some, two prefill servers and a decode server.
-fn started_with(fake: &Fake, settings: Settings) -> Gateway<Fake> {
+/// Starts a gateway with two readers and a writer. Settings without classes get a default class.
+fn start_gateway_with_settings(fake: &FakeEngines, settings: Settings) -> Gateway<FakeEngines> {
     let classes = if settings.classes.is_empty() { vec![Class::default()] } else { settings.classes.clone() };
     let settings = Settings { roles: vec![Role::Read, Role::Write], classes, ..settings };
-    let (gateway, _) = start("test", settings, 1, fake.clone(), Tuning::default()).expect("lawful");
+    let (gateway, _) = start("test", settings, 1, fake.clone(), Tuning::default()).expect("valid settings");
     let ready = Condition::Ready;
-    let all = vec![listed(1, 0, "r1", ready), listed(2, 0, "r2", ready), listed(11, 1, "w1", ready)];
-    gateway.tell(change(RosterForm::Full, all)).expect("it runs");
+    let engines = vec![
+        listed_engine(1, 0, "r1", ready),
+        listed_engine(2, 0, "r2", ready),
+        listed_engine(11, 1, "w1", ready),
+    ];
+    gateway.tell(roster_change(RosterForm::Full, engines)).expect("the driver is running");
     gateway
 }
 
-/// A gateway, one of some, whose writers have little memory, with an answer that has begun and goes on.
-async fn nearly_full(fake: &Fake) -> (Gateway<Fake>, Answer<Pieces>) {
-    fake.connects.set(true);
+/// Starts one of two gateway replicas with a writer of little memory, and one response that has begun and
+/// continues.
+async fn start_gateway_with_nearly_full_writer(
+    fake: &FakeEngines,
+) -> (Gateway<FakeEngines>, Answer<ScriptedEvents>) {
+    fake.connects_at_once.set(true);
     let settings = Settings {
         replicas: 2,
         roles: vec![Role::Read, Role::Write],
@@ -165,31 +178,38 @@
         may_probe: true,
         ..Settings::default()
     };
-    let (gateway, _) = start("test", settings, 1, fake.clone(), Tuning::default()).expect("lawful");
+    let (gateway, _) = start("test", settings, 1, fake.clone(), Tuning::default()).expect("valid settings");
     let ready = Condition::Ready;
-    let all = vec![listed(1, 0, "r1", ready), listed(11, 1, "w1", ready)];
-    gateway.tell(change(RosterForm::Full, all)).expect("it runs");
-    let answer = gateway.submit(submission("a")).expect("taken").answer().await;
-    // For so long that the other gateway is taken to have as much there.
+    let engines = vec![listed_engine(1, 0, "r1", ready), listed_engine(11, 1, "w1", ready)];
+    gateway.tell(roster_change(RosterForm::Full, engines)).expect("the driver is running");
+    let answer = gateway.submit(submission("a")).expect("the request is accepted").answer().await;
+    // After this time the gateway assumes that the other replica uses as much of the writer's memory.
     tokio::time::sleep(Duration::from_secs(2)).await;
     (gateway, answer)
 }
 
-// What the others have at a writer is only guessed: the guess made requests wait that had room there.
+// The memory that other gateways use at a writer is only estimated. An estimate that was too high made
+// requests wait although the writer had room.
 #[rstest::rstest]
-#[case::one_that_has_room(Some(0.1), true)]
-#[case::one_that_is_full(Some(0.95), false)]
-#[case::one_that_is_silent(None, false)]
+#[case::writer_with_room(Some(0.1), true)]
+#[case::full_writer(Some(0.95), false)]
+#[case::silent_writer(None, false)]
 #[tokio::test(start_paused = true)]
-async fn writer_that_is_guessed_to_be_full_is_asked(#[case] share: Option<f64>, #[case] read: bool) {
-    local(async {
-        let fake = Fake { share, endless: true, ..Fake::default() };
-        let (gateway, _running) = nearly_full(&fake).await;
-        assert!(fake.probed.borrow().is_empty(), "{:?}", fake.probed);
-        let _waits = gateway.submit(submission("b")).expect("taken");
+async fn writer_estimated_full_is_probed(
+    #[case] reported_memory_share: Option<f64>,
+    #[case] reads_prompt: bool,
+) {
+    run_local(async {
+        let fake = FakeEngines { reported_memory_share, endless: true, ..FakeEngines::default() };
+        let (gateway, _open_answer) = start_gateway_with_nearly_full_writer(&fake).await;
+        assert!(fake.probed_endpoints.borrow().is_empty(), "{:?}", fake.probed_endpoints);
+        let _waiting_ticket = gateway.submit(submission("b")).expect("the request is accepted");
         tokio::time::sleep(Duration::from_millis(700)).await;
-        assert_eq!(*fake.probed.borrow(), ["w1"]);
-        assert_eq!(fake.written.borrow().iter().filter(|to| *to == "r1").count(), 1 + usize::from(read));
+        assert_eq!(*fake.probed_endpoints.borrow(), ["w1"]);
+        assert_eq!(
+            fake.written_endpoints.borrow().iter().filter(|to| *to == "r1").count(),
+            1 + usize::from(reads_prompt)
+        );
     })
     .await;
 }
@@ -200,94 +220,106 @@
     Submission { arrival, job: "job", size: 3, key: None }
 }
 
-async fn pieces(answer: Answer<Pieces>) -> Vec<Bytes> {
-    let Answer::Events(mut relay) = answer else { panic!("not served") };
-    let mut all = Vec::new();
-    while let Some(piece) = std::future::poll_fn(|context| relay.poll_piece(context)).await {
-        all.push(piece.expect("whole"));
+async fn collect_events(answer: Answer<ScriptedEvents>) -> Vec<Bytes> {
+    let Answer::Events(mut relay) = answer else { panic!("the request was not served") };
+    let mut events = Vec::new();
+    while let Some(event) = std::future::poll_fn(|context| relay.poll_piece(context)).await {
+        events.push(event.expect("the response is complete"));
     }
-    all
+    events
 }
 
-async fn local(test: impl Future<Output = ()>) {
+async fn run_local(test: impl Future<Output = ()>) {
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-// The news of a drain may come while a connection is still being made: the send must not go out then.
+// The roster may report a drain while a connection to the engine is being established: the request must not
+// be written to it then.
 #[tokio::test]
-async fn send_still_connecting_when_its_engine_is_told_to_drain_goes_elsewhere() {
-    local(async {
-        let fake = Fake::default();
-        let gateway = started(&fake);
-        let ticket = gateway.submit(submission("a")).expect("taken");
-        while fake.called.borrow().is_empty() {
+async fn connecting_attempt_moves_when_its_engine_starts_to_drain() {
+    run_local(async {
+        let fake = FakeEngines::default();
+        let gateway = start_gateway(&fake);
+        let ticket = gateway.submit(submission("a")).expect("the request is accepted");
+        while fake.called_endpoints.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let (number, drains, other) =
-            if fake.called.borrow()[0] == "r1" { (1, "r1", "r2") } else { (2, "r2", "r1") };
-        let drains = vec![listed(number, 0, drains, Condition::Draining)];
-        gateway.tell(change(RosterForm::Delta, drains)).expect("it runs");
+        let (number, draining_endpoint, other_endpoint) =
+            if fake.called_endpoints.borrow()[0] == "r1" { (1, "r1", "r2") } else { (2, "r2", "r1") };
+        let drained_engine = vec![listed_engine(number, 0, draining_endpoint, Condition::Draining)];
+        gateway.tell(roster_change(RosterForm::Delta, drained_engine)).expect("the driver is running");
         tokio::time::sleep(Duration::from_millis(30)).await;
-        fake.connects.set(true);
-        fake.connected.notify_waiters();
-        assert_eq!(pieces(ticket.answer().await).await, ["a", "b"]);
-        assert_eq!(*fake.written.borrow(), [other, "w1"]);
+        fake.connects_at_once.set(true);
+        fake.connections_allowed.notify_waiters();
+        assert_eq!(collect_events(ticket.answer().await).await, ["a", "b"]);
+        assert_eq!(*fake.written_endpoints.borrow(), [other_endpoint, "w1"]);
     })
     .await;
 }
 
-// The first event was there and its client left before it could be passed on: the answer is given up, and nothing of the
-// request stays open.
+// The client disconnects after the first event has arrived and before it is relayed: the response is
+// abandoned, and the request must not stay open.
 #[tokio::test]
-async fn client_that_goes_as_its_answer_begins_leaves_nothing_open() {
-    local(async {
-        let fake = Fake { connects: Rc::new(Cell::new(true)), endless: true, ..Fake::default() };
-        let gateway = started(&fake);
-        let ticket = gateway.submit(submission("a")).expect("taken");
-        while fake.written.borrow().len() < 2 {
+async fn client_disconnect_at_first_event_leaves_no_open_request() {
+    run_local(async {
+        let fake = FakeEngines {
+            connects_at_once: Rc::new(Cell::new(true)),
+            endless: true,
+            ..FakeEngines::default()
+        };
+        let gateway = start_gateway(&fake);
+        let ticket = gateway.submit(submission("a")).expect("the request is accepted");
+        while fake.written_endpoints.borrow().len() < 2 {
             tokio::task::yield_now().await;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
-        assert_eq!(gateway.open(), 1, "the answer has begun");
+        assert_eq!(gateway.open(), 1, "the response has begun and is open");
         drop(ticket);
         tokio::time::sleep(Duration::from_millis(5)).await;
-        assert_eq!((gateway.open(), fake.written.borrow().len()), (0, 2));
+        assert_eq!((gateway.open(), fake.written_endpoints.borrow().len()), (0, 2));
     })
     .await;
 }
 
-// The engine of a further attempt was told to drain while that was on its way, as that of a first one may be.
+// As with a first attempt, the engine of a repeated attempt may start draining while the connection is
+// established.
 #[tokio::test]
-async fn repeat_still_connecting_when_its_engine_is_told_to_drain_goes_elsewhere() {
-    local(async {
-        let fake = Fake { breaks: Rc::new(Cell::new(1)), ..Fake::default() };
-        fake.connects.set(true);
-        let gateway = started(&fake);
-        let ready = vec![listed(12, 1, "w2", Condition::Ready), listed(13, 1, "w3", Condition::Ready)];
-        gateway.tell(change(RosterForm::Delta, ready)).expect("it runs");
-        let ticket = gateway.submit(submission("a")).expect("taken");
+async fn connecting_repeat_moves_when_its_engine_starts_to_drain() {
+    run_local(async {
+        let fake = FakeEngines { writer_resets: Rc::new(Cell::new(1)), ..FakeEngines::default() };
+        fake.connects_at_once.set(true);
+        let gateway = start_gateway(&fake);
+        let new_writers =
+            vec![listed_engine(12, 1, "w2", Condition::Ready), listed_engine(13, 1, "w3", Condition::Ready)];
+        gateway.tell(roster_change(RosterForm::Delta, new_writers)).expect("the driver is running");
+        let ticket = gateway.submit(submission("a")).expect("the request is accepted");
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let repeated = fake.called.borrow().last().expect("it was sent").clone();
-        assert_eq!(fake.called.borrow().len(), 3, "{:?}", fake.called);
-        let number = 10 + repeated[1..].parse::<u32>().expect("a writer's number");
+        let repeat_endpoint = fake.called_endpoints.borrow().last().expect("an attempt was sent").clone();
+        assert_eq!(fake.called_endpoints.borrow().len(), 3, "{:?}", fake.called_endpoints);
+        let number =
+            10 + repeat_endpoint[1..].parse::<u32>().expect("a writer's endpoint contains its number");
         gateway
-            .tell(change(RosterForm::Delta, vec![listed(number, 1, &repeated, Condition::Draining)]))
-            .expect("it runs");
+            .tell(roster_change(
+                RosterForm::Delta,
+                vec![listed_engine(number, 1, &repeat_endpoint, Condition::Draining)],
+            ))
+            .expect("the driver is running");
         tokio::time::sleep(Duration::from_millis(10)).await;
-        fake.connects.set(true);
-        fake.connected.notify_waiters();
-        assert_eq!(pieces(ticket.answer().await).await, ["a", "b"]);
-        assert!(!fake.written.borrow().contains(&repeated), "{:?}", fake.written);
+        fake.connects_at_once.set(true);
+        fake.connections_allowed.notify_waiters();
+        assert_eq!(collect_events(ticket.answer().await).await, ["a", "b"]);
+        assert!(!fake.written_endpoints.borrow().contains(&repeat_endpoint), "{:?}", fake.written_endpoints);
     })
     .await;
 }
 
-// Repeats are dropped for a time after the first run: decided on within that, one was written after it.
+// Engines drop repeats only for a limited window after the first run. A repeat that was decided within the
+// window was written after it, because its connection was established late.
 #[tokio::test(start_paused = true)]
-async fn repeat_whose_connection_comes_up_after_its_time_is_not_written() {
-    local(async {
-        let fake = Fake { breaks: Rc::new(Cell::new(1)), ..Fake::default() };
-        fake.connects.set(true);
+async fn repeat_connected_after_its_window_is_not_written() {
+    run_local(async {
+        let fake = FakeEngines { writer_resets: Rc::new(Cell::new(1)), ..FakeEngines::default() };
+        fake.connects_at_once.set(true);
         let settings = Settings {
             roles: vec![Role::Read, Role::Write],
             classes: vec![Class {
@@ -296,162 +328,181 @@
             }],
             ..Settings::default()
         };
-        let (gateway, _) = start("test", settings, 1, fake.clone(), Tuning::default()).expect("lawful");
-        let all = vec![listed(1, 0, "r1", Condition::Ready), listed(11, 1, "w1", Condition::Ready)];
-        gateway.tell(change(RosterForm::Full, all)).expect("it runs");
-        let ticket = gateway.submit(submission("a")).expect("taken");
+        let (gateway, _) =
+            start("test", settings, 1, fake.clone(), Tuning::default()).expect("valid settings");
+        let engines =
+            vec![listed_engine(1, 0, "r1", Condition::Ready), listed_engine(11, 1, "w1", Condition::Ready)];
+        gateway.tell(roster_change(RosterForm::Full, engines)).expect("the driver is running");
+        let ticket = gateway.submit(submission("a")).expect("the request is accepted");
         tokio::time::sleep(Duration::from_millis(600)).await;
-        assert_eq!(*fake.called.borrow(), ["r1", "w1", "w1"], "the second waits for its connection");
-        fake.connects.set(true);
-        fake.connected.notify_waiters();
+        assert_eq!(
+            *fake.called_endpoints.borrow(),
+            ["r1", "w1", "w1"],
+            "the repeat waits for its connection"
+        );
+        fake.connects_at_once.set(true);
+        fake.connections_allowed.notify_waiters();
         let answer = ticket.answer().await;
         assert!(matches!(answer, Answer::Refused { .. }), "{answer:?}");
-        assert_eq!(*fake.written.borrow(), ["r1", "w1"]);
+        assert_eq!(*fake.written_endpoints.borrow(), ["r1", "w1"]);
     })
     .await;
 }
 
-// Where attempts may not be called off one that was still connecting was written for a client that had gone.
+// Without permission to cancel attempts, a request that was still connecting was written although its client
+// had disconnected.
 #[rstest::rstest]
 #[tokio::test]
-async fn send_still_connecting_when_its_client_goes_is_not_written(#[values(true, false)] may_cancel: bool) {
-    local(async {
-        let fake = Fake::default();
-        let gateway = started_where(&fake, may_cancel);
-        let ticket = gateway.submit(submission("a")).expect("taken");
+async fn connecting_attempt_is_not_written_after_client_disconnects(#[values(true, false)] may_cancel: bool) {
+    run_local(async {
+        let fake = FakeEngines::default();
+        let gateway = start_gateway_with_cancellation(&fake, may_cancel);
+        let ticket = gateway.submit(submission("a")).expect("the request is accepted");
         tokio::time::sleep(Duration::from_millis(10)).await;
-        assert_eq!(fake.called.borrow().len(), 1);
+        assert_eq!(fake.called_endpoints.borrow().len(), 1);
         drop(ticket);
         tokio::time::sleep(Duration::from_millis(30)).await;
-        fake.connects.set(true);
-        fake.connected.notify_waiters();
+        fake.connects_at_once.set(true);
+        fake.connections_allowed.notify_waiters();
         tokio::time::sleep(Duration::from_millis(30)).await;
-        assert!(fake.written.borrow().is_empty() && gateway.open() == 0);
+        assert!(fake.written_endpoints.borrow().is_empty() && gateway.open() == 0);
     })
     .await;
 }
 
-// Where attempts may not be called off one that was still connecting was written after its request had been refused.
+// Without permission to cancel attempts, an attempt that was still connecting was written after its request
+// had been refused.
 #[tokio::test(start_paused = true)]
-async fn send_still_connecting_when_its_request_is_answered_is_not_written() {
-    local(async {
-        let fake = Fake::default();
-        let gateway = started_where(&fake, false);
-        let mut short = submission("a");
-        short.arrival.expires_in = 400_000;
-        let answer = gateway.submit(short).expect("taken").answer().await;
+async fn connecting_attempt_is_not_written_after_its_request_is_answered() {
+    run_local(async {
+        let fake = FakeEngines::default();
+        let gateway = start_gateway_with_cancellation(&fake, false);
+        let mut impatient = submission("a");
+        impatient.arrival.expires_in = 400_000;
+        let answer = gateway.submit(impatient).expect("the request is accepted").answer().await;
         assert!(matches!(answer, Answer::Refused { .. }), "{answer:?}");
-        assert!(!fake.called.borrow().is_empty(), "it was on its way");
-        fake.connects.set(true);
-        fake.connected.notify_waiters();
+        assert!(!fake.called_endpoints.borrow().is_empty(), "an attempt was connecting");
+        fake.connects_at_once.set(true);
+        fake.connections_allowed.notify_waiters();
         tokio::time::sleep(Duration::from_millis(30)).await;
-        assert!(fake.written.borrow().is_empty(), "{:?}", fake.written);
+        assert!(fake.written_endpoints.borrow().is_empty(), "{:?}", fake.written_endpoints);
     })
     .await;
 }
 
-// A zone was cut off just after a read there: its engines were asked one after the other to let the state go,
-// and it stayed held for longer than the rule allows.
+// A zone became unreachable just after a read there. The release was sent to its engines one after the other,
+// so the state was held for longer than the rule allows.
 #[tokio::test(start_paused = true)]
-async fn release_does_not_wait_for_every_engine_of_a_zone_that_is_cut_off() {
-    local(async {
-        let fake = Fake { cut_off: Some('a'), ..Fake::default() };
-        let gateway = started(&fake);
-        let engine = |number, kind, zone, endpoint: &str| {
-            let mut engine = listed(number, kind, endpoint, Condition::Ready);
+async fn release_does_not_wait_for_every_engine_of_an_unreachable_zone() {
+    run_local(async {
+        let fake = FakeEngines { unreachable_suffix: Some('a'), ..FakeEngines::default() };
+        let gateway = start_gateway(&fake);
+        let zoned_engine = |number, kind, zone, endpoint: &str| {
+            let mut engine = listed_engine(number, kind, endpoint, Condition::Ready);
             engine.entry.zone = zone;
             engine
         };
-        let mut all: Vec<_> = (1..9).map(|n| engine(n, 0, 1, &format!("r{n}a"))).collect();
-        all.extend([engine(10, 1, 1, "w10a"), engine(11, 0, 0, "r11b"), engine(12, 1, 0, "w12b")]);
-        gateway.tell(change(RosterForm::Full, all)).expect("it runs");
-        let mut short = submission("a");
-        short.arrival.expires_in = 600_000;
-        let answer = gateway.submit(short).expect("taken").answer().await;
+        let mut engines: Vec<_> = (1..9).map(|n| zoned_engine(n, 0, 1, &format!("r{n}a"))).collect();
+        engines.extend([
+            zoned_engine(10, 1, 1, "w10a"),
+            zoned_engine(11, 0, 0, "r11b"),
+            zoned_engine(12, 1, 0, "w12b"),
+        ]);
+        gateway.tell(roster_change(RosterForm::Full, engines)).expect("the driver is running");
+        let mut impatient = submission("a");
+        impatient.arrival.expires_in = 600_000;
+        let answer = gateway.submit(impatient).expect("the request is accepted").answer().await;
         assert!(matches!(answer, Answer::Refused { .. }), "{answer:?}");
-        // The delay after a broken read, the patience with one engine of the lost zone, and some.
+        // The release delay after a broken read, the timeout for one engine of the unreachable zone, and a
+        // margin.
         tokio::time::sleep(Duration::from_millis(40 + 100 + 20)).await;
-        assert_eq!(fake.released.borrow().len(), 1);
+        assert_eq!(fake.released_endpoints.borrow().len(), 1);
     })
     .await;
 }
 
-// No connection came up to a writer, the prompt was to be read anew, and the call that lets the first state go was
-// left out so as not to overtake that read: where no connection came up for that either, the state stayed held.
+// After a failed connection to the writer, the prompt is read again. The release of the first state was
+// skipped so that it could not overtake the second read; when the connection for that read failed too, the
+// state stayed held.
 #[rstest::rstest]
-#[case::at_once(None)]
-#[case::where_the_engine_heard_last_is_cut_off(Some('1'))]
+#[case::all_engines_reachable(None)]
+#[case::last_responding_engine_unreachable(Some('1'))]
 #[tokio::test(start_paused = true)]
-async fn state_is_let_go_before_its_request_is_read_anew(#[case] cut_off: Option<char>) {
-    local(async {
-        let fake = Fake { cut_off, unheard: Rc::new(Cell::new(1)), ..Fake::default() };
-        fake.connects.set(true);
-        let gateway = started(&fake);
-        let ticket = gateway.submit(submission("a")).expect("taken");
-        pieces(ticket.answer().await).await;
-        assert_eq!(*fake.order.borrow(), ["read", "release", "read", "write"]);
+async fn state_is_released_before_its_request_is_read_again(#[case] unreachable_suffix: Option<char>) {
+    run_local(async {
+        let fake = FakeEngines {
+            unreachable_suffix,
+            writer_dial_timeouts: Rc::new(Cell::new(1)),
+            ..FakeEngines::default()
+        };
+        fake.connects_at_once.set(true);
+        let gateway = start_gateway(&fake);
+        let ticket = gateway.submit(submission("a")).expect("the request is accepted");
+        collect_events(ticket.answer().await).await;
+        assert_eq!(*fake.operations.borrow(), ["read", "release", "read", "write"]);
     })
     .await;
 }
 
-/// A gateway with one class, of that effect, and two readers and a writer.
-fn started_with_effect(fake: &Fake, effect: Effect) -> Gateway<Fake> {
-    fake.connects.set(true);
+/// Starts a gateway with two readers, a writer and one class that has the given effect.
+fn start_gateway_with_effect(fake: &FakeEngines, effect: Effect) -> Gateway<FakeEngines> {
+    fake.connects_at_once.set(true);
     let classes = vec![Class { effect, ..Class::default() }];
-    started_with(fake, Settings { classes, let_go: 300_000, ..Settings::default() })
+    start_gateway_with_settings(fake, Settings { classes, let_go: 300_000, ..Settings::default() })
 }
 
-// Open connections may fall silent with no error. The send to the writer counted as out though it had not arrived, and
-// what the reader held for the request stayed there until its time was up.
+// Open connections may become silent without an error. The send to the writer counted as in flight although
+// it had not arrived, and the reader held the request's state until the request's deadline.
 #[rstest::rstest]
 #[case::safe(Effect::Safe)]
 #[case::keyed(Effect::Keyed { group: Group::All, window: 2_000_000 })]
 #[case::must_not_run_twice(Effect::Unsafe)]
 #[tokio::test(start_paused = true)]
-async fn state_is_let_go_in_time_while_its_send_may_not_have_arrived(#[case] effect: Effect) {
-    local(async {
-        let fake = Fake { silent_writers: Rc::new(Cell::new(true)), ..Fake::default() };
-        let gateway = started_with_effect(&fake, effect);
-        let _ticket = gateway.submit(submission("a")).expect("taken");
-        // The span of the settings, and the 300 ms that the protocol adds to it.
+async fn state_is_released_in_time_while_its_send_may_not_have_arrived(#[case] effect: Effect) {
+    run_local(async {
+        let fake = FakeEngines { silent_writers: Rc::new(Cell::new(true)), ..FakeEngines::default() };
+        let gateway = start_gateway_with_effect(&fake, effect);
+        let _ticket = gateway.submit(submission("a")).expect("the request is accepted");
+        // The duration from the settings, plus the 300 ms that the protocol allows.
         tokio::time::sleep(Duration::from_millis(300 + 300)).await;
-        assert_eq!(fake.order.borrow()[..2], ["read", "write"]);
-        assert_eq!(fake.released.borrow().len(), 1, "{:?}", fake.order);
+        assert_eq!(fake.operations.borrow()[..2], ["read", "write"]);
+        assert_eq!(fake.released_endpoints.borrow().len(), 1, "{:?}", fake.operations);
     })
     .await;
 }
 
-// What is out was let go of in case it had not arrived; it had, and its writer was only slow. The answer still counts.
+// The state is released in case the send to the writer did not arrive. It did arrive and the writer was only
+// slow: the response must still be used.
 #[tokio::test(start_paused = true)]
-async fn answer_of_a_writer_that_was_only_slow_counts_after_the_release() {
-    local(async {
-        let fake = Fake { silent_writers: Rc::new(Cell::new(true)), ..Fake::default() };
-        let gateway = started_with_effect(&fake, Effect::Unsafe);
-        let ticket = gateway.submit(submission("a")).expect("taken");
+async fn answer_of_a_slow_writer_is_used_after_the_release() {
+    run_local(async {
+        let fake = FakeEngines { silent_writers: Rc::new(Cell::new(true)), ..FakeEngines::default() };
+        let gateway = start_gateway_with_effect(&fake, Effect::Unsafe);
+        let ticket = gateway.submit(submission("a")).expect("the request is accepted");
         tokio::time::sleep(Duration::from_millis(700)).await;
         fake.silent_writers.set(false);
-        assert_eq!(pieces(ticket.answer().await).await, ["a", "b"]);
-        assert_eq!(*fake.written.borrow(), ["r1", "w1"], "sent once");
+        assert_eq!(collect_events(ticket.answer().await).await, ["a", "b"]);
+        assert_eq!(*fake.written_endpoints.borrow(), ["r1", "w1"], "the request was sent once to each");
     })
     .await;
 }
 
-// What is open is bounded whatever comes in, and room is given back.
+// The number and size of open requests are limited, and an ended request frees its part of the limits.
 #[tokio::test]
-async fn request_beyond_the_bounds_is_not_taken_until_another_ends() {
-    local(async {
-        let fake = Fake::default();
-        let gateway = started(&fake);
-        let most = Tuning::default().limits;
-        let huge = Submission { size: most.bytes - 3, ..submission("a") };
-        let first = gateway.submit(huge).expect("taken");
-        let second = gateway.submit(submission("b")).expect("taken");
+async fn request_beyond_the_limits_is_rejected_until_another_ends() {
+    run_local(async {
+        let fake = FakeEngines::default();
+        let gateway = start_gateway(&fake);
+        let limits = Tuning::default().limits;
+        let huge = Submission { size: limits.bytes - 3, ..submission("a") };
+        let first = gateway.submit(huge).expect("the request is accepted");
+        let second = gateway.submit(submission("b")).expect("the request is accepted");
         assert_eq!(gateway.submit(submission("b")).err(), Some(Rejected::Duplicate));
         assert_eq!(gateway.submit(submission("c")).err(), Some(Rejected::Busy));
-        fake.connects.set(true);
-        fake.connected.notify_waiters();
-        pieces(first.answer().await).await;
-        pieces(second.answer().await).await;
+        fake.connects_at_once.set(true);
+        fake.connections_allowed.notify_waiters();
+        collect_events(first.answer().await).await;
+        collect_events(second.answer().await).await;
         tokio::time::sleep(Duration::from_millis(30)).await;
         assert_eq!(gateway.open(), 0);
         assert!(gateway.submit(submission("c")).is_ok());
@@ -459,57 +510,75 @@
     .await;
 }
 
-// Killed in the middle, a stream is asked for again when the next gateway may be stopping too: where clients
-// ask for the rest it is ended in time, the oldest first.
+// A stream that is killed at shutdown is requested again, possibly at a gateway that is about to stop as
+// well. Where clients can request the rest of a response, streams are therefore ended before the shutdown,
+// oldest first.
 #[tokio::test(start_paused = true)]
-async fn running_answers_are_handed_over_and_new_ones_end_in_time_when_the_gateway_leaves() {
-    local(async {
-        let fake = Fake { connects: Rc::new(Cell::new(true)), endless: true, ..Fake::default() };
-        let gateway = started(&fake);
-        let running = async |id: &str| match gateway.submit(submission(id)).expect("taken").answer().await {
+async fn shutdown_hands_off_running_answers_oldest_first_and_ends_new_ones_in_time() {
+    run_local(async {
+        let fake = FakeEngines {
+            connects_at_once: Rc::new(Cell::new(true)),
+            endless: true,
+            ..FakeEngines::default()
+        };
+        let gateway = start_gateway(&fake);
+        let start_answer = async |id: &str| match gateway
+            .submit(submission(id))
+            .expect("the request is accepted")
+            .answer()
+            .await
+        {
             Answer::Events(relay) => relay,
             answer => panic!("{answer:?}"),
         };
-        let mut old = running("a").await;
+        let mut older_answer = start_answer("a").await;
         tokio::time::sleep(Duration::from_secs(12)).await;
-        let mut young = running("b").await;
-        let asked = tokio::time::Instant::now();
-        let (from, span) = (asked + Duration::from_secs(1), Duration::from_secs(1));
-        let answers_by = asked + Duration::from_secs(3);
-        gateway.leave(Departure { take_until: None, answers_by, hand_over: Some((from, span)) });
-        let ended = async |relay: &mut Relay<Pieces>| loop {
+        let mut newer_answer = start_answer("b").await;
+        let shutdown_at = tokio::time::Instant::now();
+        let (hand_over_from, hand_over_duration) =
+            (shutdown_at + Duration::from_secs(1), Duration::from_secs(1));
+        let answers_by = shutdown_at + Duration::from_secs(3);
+        gateway.leave(Departure {
+            take_until: None,
+            answers_by,
+            hand_over: Some((hand_over_from, hand_over_duration)),
+        });
+        let ended_after_ms = async |relay: &mut Relay<ScriptedEvents>| loop {
             tokio::time::sleep(Duration::from_millis(50)).await;
             if let Some(Err(_)) = std::future::poll_fn(|context| relay.poll_piece(context)).await {
-                return asked.elapsed().as_millis();
+                return shutdown_at.elapsed().as_millis();
             }
         };
-        assert!((1000..1500).contains(&ended(&mut old).await));
-        assert!((1900..2500).contains(&ended(&mut young).await));
-        fake.connects.set(false);
-        let late = gateway.submit(submission("c")).expect("taken").answer().await;
-        assert!(matches!(late, Answer::Refused { .. }) && tokio::time::Instant::now() < answers_by);
+        assert!((1000..1500).contains(&ended_after_ms(&mut older_answer).await));
+        assert!((1900..2500).contains(&ended_after_ms(&mut newer_answer).await));
+        fake.connects_at_once.set(false);
+        let late_answer = gateway.submit(submission("c")).expect("the request is accepted").answer().await;
+        assert!(matches!(late_answer, Answer::Refused { .. }) && tokio::time::Instant::now() < answers_by);
     })
     .await;
 }
 
-// An engine hung in the middle of its answer as the gateway was told to end. The stop was looked at only when an
-// event came, so that the client was kept waiting until the process was killed.
+// An engine hangs in the middle of a response while the gateway shuts down. The shutdown was checked only
+// when an event arrived, so the client waited until the process was killed.
 #[rstest::rstest]
-#[case::where_clients_ask_for_the_rest(Some(2_000), 2_000)]
-#[case::where_they_do_not(None, 3_000)]
+#[case::with_hand_off(Some(2_000), 2_000)]
+#[case::without_hand_off(None, 3_000)]
 #[tokio::test(start_paused = true)]
-async fn answer_whose_engine_hangs_is_ended_before_the_gateway(
+async fn answer_of_a_hung_engine_ends_before_the_shutdown(
     #[case] hand_over_ms: Option<u64>,
     #[case] due_ms: u64,
 ) {
-    local(async {
-        let fake = Fake { connects: Rc::new(Cell::new(true)), hangs: true, ..Fake::default() };
-        let gateway = started(&fake);
-        let asked = tokio::time::Instant::now();
-        let after = |ms| asked + Duration::from_millis(ms);
+    run_local(async {
+        let fake =
+            FakeEngines { connects_at_once: Rc::new(Cell::new(true)), hangs: true, ..FakeEngines::default() };
+        let gateway = start_gateway(&fake);
+        let started_at = tokio::time::Instant::now();
+        let after = |ms| started_at + Duration::from_millis(ms);
         let hand_over = hand_over_ms.map(|from| (after(from), Duration::ZERO));
-        let Answer::Events(mut relay) = gateway.submit(submission("a")).expect("taken").answer().await else {
-            panic!("not served")
+        let Answer::Events(mut relay) =
+            gateway.submit(submission("a")).expect("the request is accepted").answer().await
+        else {
+            panic!("the request was not served")
         };
         let mut next = async || std::future::poll_fn(|context| relay.poll_piece(context)).await;
         assert!(matches!((next().await, next().await), (Some(Ok(_)), Some(Ok(_)))));
@@ -519,40 +588,41 @@
         };
         let (ended, ()) = tokio::join!(tokio::time::timeout(Duration::from_secs(3), next()), leave);
         assert!(matches!(ended, Ok(Some(Err(_)))), "{ended:?}");
-        let late = asked.elapsed().as_millis() as u64 - due_ms;
-        assert!(late <= 110, "{late} ms late");
+        let late_ms = started_at.elapsed().as_millis() as u64 - due_ms;
+        assert!(late_ms <= 110, "the answer ended {late_ms} ms late");
     })
     .await;
 }
 
-// An engine had finished its answer, or wrote again, but the client read slowly: looked at only after the answer was due
-// to end, it was cut all the same, and its client lost what was there.
+// The engine has finished its response, or has written more events, but the client reads slowly. The relay
+// was polled only after the time at which the response had to end, and cut it off: the client lost events
+// that had arrived.
 #[rstest::rstest]
-#[case::finished_where_clients_ask_for_the_rest(Some(1_000))]
-#[case::events_still_come_where_they_do_not(None)]
+#[case::finished_with_hand_off(Some(1_000))]
+#[case::more_events_without_hand_off(None)]
 #[tokio::test(start_paused = true)]
-async fn answer_that_is_read_late_keeps_what_its_engine_wrote(#[case] hand_over_ms: Option<u64>) {
-    local(async {
-        let fake = Fake { connects: Rc::new(Cell::new(true)), ..Fake::default() };
-        let gateway = started(&fake);
-        let asked = tokio::time::Instant::now();
-        let after = |ms| asked + Duration::from_millis(ms);
-        let answer = gateway.submit(submission("a")).expect("taken").answer().await;
+async fn slowly_read_answer_keeps_all_events_of_its_engine(#[case] hand_over_ms: Option<u64>) {
+    run_local(async {
+        let fake = FakeEngines { connects_at_once: Rc::new(Cell::new(true)), ..FakeEngines::default() };
+        let gateway = start_gateway(&fake);
+        let started_at = tokio::time::Instant::now();
+        let after = |ms| started_at + Duration::from_millis(ms);
+        let answer = gateway.submit(submission("a")).expect("the request is accepted").answer().await;
         let hand_over = hand_over_ms.map(|from| (after(from), Duration::from_millis(100)));
         gateway.leave(Departure { take_until: None, answers_by: after(2_000), hand_over });
         tokio::time::sleep(Duration::from_millis(2_200)).await;
-        assert_eq!(pieces(answer).await.concat(), b"ab");
+        assert_eq!(collect_events(answer).await.concat(), b"ab");
     })
     .await;
 }
 
-// What was open before the stop was still being worked on when the process was killed: its client got no
-// answer, and the states that it had read stayed where they were.
+// A request that was open before the shutdown was still in progress when the process was killed: its client
+// got no answer, and the states of its reads stayed held at the readers.
 #[tokio::test(start_paused = true)]
-async fn what_was_taken_before_is_answered_too_when_the_gateway_leaves() {
-    local(async {
-        let gateway = started(&Fake::default());
-        let ticket = gateway.submit(submission("a")).expect("taken");
+async fn request_accepted_before_the_shutdown_is_answered() {
+    run_local(async {
+        let gateway = start_gateway(&FakeEngines::default());
+        let ticket = gateway.submit(submission("a")).expect("the request is accepted");
         tokio::time::sleep(Duration::from_millis(100)).await;
         let answers_by = tokio::time::Instant::now() + Duration::from_secs(1);
         gateway.leave(Departure { take_until: None, answers_by, hand_over: None });
@@ -563,78 +633,94 @@
     .await;
 }
 
-// Settings reach a running driver as the roster does, by a change; what was learnt stays.
+// A running driver receives new settings as a change, like the roster, and keeps what it has learnt.
 #[tokio::test]
-async fn changed_settings_hold_from_then_on() {
-    local(async {
-        let fake = Fake::default();
-        fake.connects.set(true);
-        let gateway = started(&fake);
-        let tight = Settings {
+async fn changed_settings_apply_to_new_requests() {
+    run_local(async {
+        let fake = FakeEngines::default();
+        fake.connects_at_once.set(true);
+        let gateway = start_gateway(&fake);
+        let new_settings = Settings {
             roles: vec![Role::Read, Role::Write],
             classes: vec![Class { deadline: 1, ..Class::default() }],
             ..Settings::default()
         };
-        gateway.tell(Change { revision: 2, news: News::Settings(tight) }).expect("it runs");
-        let answer = gateway.submit(submission("a")).expect("taken").answer().await;
-        assert!(matches!(answer, Answer::Refused { .. }), "its class gives no time any more");
+        gateway
+            .tell(Change { revision: 2, news: News::Settings(new_settings) })
+            .expect("the driver is running");
+        let answer = gateway.submit(submission("a")).expect("the request is accepted").answer().await;
+        assert!(
+            matches!(answer, Answer::Refused { .. }),
+            "the class deadline of the new settings has passed"
+        );
     })
     .await;
 }
 
 thread_local! {
-    /// By how many microseconds the wall clock of a test was stepped.
-    static STEP: Cell<i64> = const { Cell::new(0) };
+    /// Offset of the test's wall clock, in microseconds.
+    static CLOCK_STEP_US: Cell<i64> = const { Cell::new(0) };
 }
 
-fn stepped_clock() -> Micros {
+fn stepped_wall_clock() -> Micros {
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
-    (unix.as_micros() as u64).saturating_add_signed(STEP.get())
-}
-
-/// How many of 200 requests go to the second of two writers.
-async fn share_of_second_writer(gateway: &Gateway<Fake>, fake: &Fake, name: &str) -> usize {
-    let before = fake.written.borrow().len();
-    for n in 0..200 {
-        pieces(gateway.submit(submission(&format!("{name}{n}"))).expect("taken").answer().await).await;
+    (unix.as_micros() as u64).saturating_add_signed(CLOCK_STEP_US.get())
+}
+
+/// Sends 200 requests and returns how many of them went to the second of two writers.
+async fn requests_to_second_writer(gateway: &Gateway<FakeEngines>, fake: &FakeEngines, name: &str) -> usize {
+    let before = fake.written_endpoints.borrow().len();
+    for number in 0..200 {
+        collect_events(
+            gateway
+                .submit(submission(&format!("{name}{number}")))
+                .expect("the request is accepted")
+                .answer()
+                .await,
+        )
+        .await;
     }
-    fake.written.borrow()[before..].iter().filter(|to| *to == "w2").count()
+    fake.written_endpoints.borrow()[before..].iter().filter(|to| *to == "w2").count()
 }
 
-// The wall clock was stepped under a running gateway. A server that started after that, an hour ago by the clock of before,
-// was taken for a warm one and got its full share at once; one that started in an hour never became warm.
+// The wall clock is stepped while the gateway runs. After a step back, a server that had just started
+// appeared to have started an hour ago by the clock before the step, counted as warm and got its full part at
+// once; after a step ahead, its start appeared to lie an hour in the future, and it never became warm.
 #[rstest::rstest]
 #[case::back(-3_600)]
 #[case::ahead(3_600)]
 #[tokio::test(start_paused = true)]
-async fn server_starts_slowly_and_becomes_warm_though_the_wall_clock_was_stepped(#[case] step_s: i64) {
-    local(async {
-        let fake = Fake::default();
-        fake.connects.set(true);
+async fn wall_clock_step_does_not_disturb_slow_start(#[case] step_s: i64) {
+    run_local(async {
+        let fake = FakeEngines::default();
+        fake.connects_at_once.set(true);
         let settings = Settings {
             roles: vec![Role::Read, Role::Write],
             classes: vec![Class::default()],
             warm_after: 5_000_000,
             ..Settings::default()
         };
-        let tuning = Tuning { wall_clock: stepped_clock, ..Tuning::default() };
-        let (gateway, _) = start("test", settings, 1, fake.clone(), tuning).expect("lawful");
+        let tuning = Tuning { wall_clock: stepped_wall_clock, ..Tuning::default() };
+        let (gateway, _) = start("test", settings, 1, fake.clone(), tuning).expect("valid settings");
         let ready = Condition::Ready;
-        let all = vec![listed(1, 0, "r1", ready), listed(11, 1, "w1", ready)];
-        gateway.tell(change(RosterForm::Full, all)).expect("it runs");
-        share_of_second_writer(&gateway, &fake, "before").await;
-        STEP.set(step_s * 1_000_000);
-        let mut started = listed(12, 1, "w2", ready);
-        started.entry.started_at = stepped_clock();
-        gateway.tell(change(RosterForm::Delta, vec![started.clone()])).expect("it runs");
-        let cold = share_of_second_writer(&gateway, &fake, "cold").await;
-        // Time goes on by the monotonic clock; a whole list tells the same start again.
+        let engines = vec![listed_engine(1, 0, "r1", ready), listed_engine(11, 1, "w1", ready)];
+        gateway.tell(roster_change(RosterForm::Full, engines)).expect("the driver is running");
+        requests_to_second_writer(&gateway, &fake, "before").await;
+        CLOCK_STEP_US.set(step_s * 1_000_000);
+        let mut new_writer = listed_engine(12, 1, "w2", ready);
+        new_writer.entry.started_at = stepped_wall_clock();
+        gateway
+            .tell(roster_change(RosterForm::Delta, vec![new_writer.clone()]))
+            .expect("the driver is running");
+        let cold = requests_to_second_writer(&gateway, &fake, "cold").await;
+        // Time advances on the monotonic clock; a full roster then reports the same start time again.
         tokio::time::sleep(Duration::from_secs(6)).await;
-        let again = vec![listed(1, 0, "r1", ready), listed(11, 1, "w1", ready), started];
-        gateway.tell(change(RosterForm::Full, again)).expect("it runs");
-        let warm = share_of_second_writer(&gateway, &fake, "warm").await;
-        // About a fifth is drawn for a server that starts, and half goes to one that is warm.
-        assert!(cold < 70 && warm > 75, "{cold} of 200 while cold, {warm} when warm");
+        let full_roster =
+            vec![listed_engine(1, 0, "r1", ready), listed_engine(11, 1, "w1", ready), new_writer];
+        gateway.tell(roster_change(RosterForm::Full, full_roster)).expect("the driver is running");
+        let warm = requests_to_second_writer(&gateway, &fake, "warm").await;
+        // A server in slow start gets about a fifth of the requests, and a warm server half of them.
+        assert!(cold < 70 && warm > 75, "the server got {cold} of 200 requests while cold, {warm} when warm");
     })
     .await;
 }
