--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,4 +1,4 @@
-//! A server that has just started, and all routers of a fleet at once: what they send it together.
+//! A server in slow start, and the requests that all routers of a fleet together send it.
 
 mod common;
 use common::*;
@@ -6,28 +6,30 @@
 use rstest::rstest;
 
 const SECOND: Micros = 1_000_000;
-/// When the server starts that is watched.
-const START: Micros = 1_000 * SECOND;
-const COLD: u32 = 1;
-/// What a warm reader does, in requests a second.
+/// Time at which the observed server starts.
+const STARTED_AT: Micros = 1_000 * SECOND;
+/// Id of the observed reader.
+const COLD_READER: u32 = 1;
+/// Requests that a warm reader completes per second.
 const CAPACITY: f64 = 5.0;
 
-/// A fleet of three zones.
+/// A simulated fleet of three zones.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
     routers: u32,
     readers: u32,
-    /// How much of what the readers can do comes, and how much the tenants' shares tell.
-    comes: f64,
-    told: f64,
-    /// How much of all the first router gets beside its part.
-    uneven: f64,
-    /// Part of the routers that start with the server, rather than long before.
-    restarted: f64,
-    /// Different beginnings; the n-th comes as often as one n-th of the first.
-    beginnings: usize,
-    /// Whether half of the readers start with it.
-    release: bool,
+    /// Offered load as a fraction of the readers' capacity.
+    load_fraction: f64,
+    /// Sum of the configured tenant quotas as a fraction of the readers' capacity.
+    quota_fraction: f64,
+    /// Fraction of all requests that the first router gets in addition to its equal part.
+    first_router_bias: f64,
+    /// Fraction of the routers that start together with the server rather than long before.
+    restarted_fraction: f64,
+    /// Number of different prefixes; the n-th is used 1/n times as often as the first.
+    prefixes: usize,
+    /// True if half of the readers start together with the observed server.
+    half_of_readers_start: bool,
 }
 
 impl Fleet {
@@ -36,7 +38,7 @@
             replicas: self.routers,
             zone,
             memory_tokens: vec![1e9, 1e9, 1e9],
-            tenant_rates: vec![self.told * f64::from(self.readers) * CAPACITY],
+            tenant_rates: vec![self.quota_fraction * f64::from(self.readers) * CAPACITY],
             cold_from: 0.25,
             warm_after: 13 * SECOND,
             overload_factor: 2.5,
@@ -47,223 +49,258 @@
 
     fn entries(&self, started: bool) -> Vec<Entry> {
         let reader = |n: u32| {
-            let new = n == COLD || self.release && n % 2 == 1;
-            let started_at = if new { START } else { 0 };
-            let condition = if new && !started { Condition::Gone } else { Condition::Ready };
+            let is_new = n == COLD_READER || self.half_of_readers_start && n % 2 == 1;
+            let started_at = if is_new { STARTED_AT } else { 0 };
+            let condition = if is_new && !started { Condition::Gone } else { Condition::Ready };
             Entry { server: ServerId(n), kind: 0, zone: n % 3, started_at, condition, ..Entry::default() }
         };
         let writer = |n: u32| Entry { server: ServerId(1000 + n), kind: 1, zone: n, ..Entry::default() };
         (1..=self.readers).map(reader).chain((0..3).map(writer)).collect()
     }
 
-    /// Plays the first seconds after the start; gives the times at which the server was sent a request.
-    fn play(&self, seed: u64, warm_up_s: f64, for_s: f64) -> Vec<Micros> {
-        let mut draws = fastrand::Rng::with_seed(seed);
-        let rate = self.comes * f64::from(self.readers) * CAPACITY;
-        let new = |n: u32| Harness::new(self.settings(n % 3), &[]);
-        let tell = |router: &mut Harness, at, started| {
-            router.now = at;
+    /// Simulates the first seconds after the start and returns the times at which the observed server was
+    /// sent a request.
+    fn run(&self, seed: u64, warm_up_s: f64, duration_s: f64) -> Vec<Micros> {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let rate = self.load_fraction * f64::from(self.readers) * CAPACITY;
+        let new_router = |number: u32| Harness::new(self.settings(number % 3), &[]);
+        let update_roster = |router: &mut Harness, time, started| {
+            router.now = time;
             router.roster(self.entries(started));
         };
-        let begin = START - (warm_up_s * 1e6) as Micros;
-        let mut routers: Vec<_> = (0..self.routers).map(new).collect();
-        routers.iter_mut().for_each(|router| tell(router, begin, false));
-        let weights: f64 = (1..=self.beginnings).map(|n| 1.0 / n as f64).sum();
-        let (mut at, mut told, mut sent, mut n) = (begin as f64, false, Vec::new(), 0);
+        let begin = STARTED_AT - (warm_up_s * 1e6) as Micros;
+        let mut routers: Vec<_> = (0..self.routers).map(new_router).collect();
+        routers.iter_mut().for_each(|router| update_roster(router, begin, false));
+        let total_weight: f64 = (1..=self.prefixes).map(|n| 1.0 / n as f64).sum();
+        let (mut arrives_at, mut start_announced, mut sent, mut request_number) =
+            (begin as f64, false, Vec::new(), 0);
         loop {
-            at -= (1.0 - draws.f64()).ln() / rate * 1e6;
-            let now = at as Micros;
-            if now > START + (for_s * 1e6) as Micros {
+            arrives_at -= (1.0 - rng.f64()).ln() / rate * 1e6;
+            let now = arrives_at as Micros;
+            if now > STARTED_AT + (duration_s * 1e6) as Micros {
                 return sent;
             }
-            if now >= START && !std::mem::replace(&mut told, true) {
+            if now >= STARTED_AT && !std::mem::replace(&mut start_announced, true) {
                 for number in 0..self.routers {
-                    if draws.f64() < self.restarted {
-                        routers[number as usize] = new(number);
+                    if rng.f64() < self.restarted_fraction {
+                        routers[number as usize] = new_router(number);
                     }
-                    tell(&mut routers[number as usize], START, true);
+                    update_roster(&mut routers[number as usize], STARTED_AT, true);
                 }
             }
-            let of_all = (draws.f64() * f64::from(self.routers)) as usize;
-            let router = &mut routers[if draws.f64() < self.uneven { 0 } else { of_all }];
-            let (mut place, mut beginning) = (draws.f64() * weights, 1);
-            while place > 1.0 / beginning as f64 && beginning < self.beginnings {
-                place -= 1.0 / beginning as f64;
-                beginning += 1;
+            let random_router = (rng.f64() * f64::from(self.routers)) as usize;
+            let router = &mut routers[if rng.f64() < self.first_router_bias { 0 } else { random_router }];
+            let (mut remaining_weight, mut prefix_number) = (rng.f64() * total_weight, 1);
+            while remaining_weight > 1.0 / prefix_number as f64 && prefix_number < self.prefixes {
+                remaining_weight -= 1.0 / prefix_number as f64;
+                prefix_number += 1;
             }
-            n += 1;
-            let name = format!("{seed}-{n}");
-            let ask = Arrival {
+            request_number += 1;
+            let name = format!("{seed}-{request_number}");
+            let new_arrival = Arrival {
                 session: Some(name.as_str().into()),
-                prefix: Some(format!("beginning {beginning}").into()),
+                prefix: Some(format!("beginning {prefix_number}").into()),
                 prefix_tokens: 600.0,
                 ..arrival(&name)
             };
             router.now = now;
-            let sends = all_sends(&router.ask(ask));
-            if sends.iter().any(|(_, to)| *to == COLD) {
+            let sends = all_sends(&router.ask(new_arrival));
+            if sends.iter().any(|(_, to)| *to == COLD_READER) {
                 sent.push(now);
             }
-            // Read, and no longer of interest.
+            // The client leaves and the read completes: only the send matters here.
             router.handle(&[Event::Abandoned { id: id(&name) }]);
             router.outcome(&name, 0, Status::Read, 600.0, Load::default());
         }
     }
 }
 
-/// By how much the sum passed what is put down to chance, at its worst, in requests; below zero if it never did.
-fn worst(sent: &[Micros]) -> f64 {
-    let over = |(first, at): (usize, &Micros)| {
-        let age_s = (*at - START) as f64 / 1e6;
+/// Maximum number of requests by which a window exceeded the budget and the tolerance for random variation;
+/// negative if no window did.
+fn worst_excess(sent: &[Micros]) -> f64 {
+    let excess = |(first, window_start): (usize, &Micros)| {
+        let age_s = (*window_start - STARTED_AT) as f64 / 1e6;
         let warmth = (0.25 + 0.75 * age_s / 13.0).min(1.0);
         let budget = CAPACITY * warmth * 2.5 * 1.5;
-        let within = sent[first..].iter().filter(|later| **later < *at + 1_500_000).count();
-        within as f64 - (budget + 2.0 * budget.sqrt() + 2.0)
+        let in_window = sent[first..].iter().filter(|later| **later < *window_start + 1_500_000).count();
+        in_window as f64 - (budget + 2.0 * budget.sqrt() + 2.0)
     };
-    sent.iter().enumerate().map(over).fold(f64::NEG_INFINITY, f64::max)
+    sent.iter().enumerate().map(excess).fold(f64::NEG_INFINITY, f64::max)
 }
 
-const USUAL: Fleet = Fleet {
+const BASELINE: Fleet = Fleet {
     routers: 30,
     readers: 30,
-    comes: 0.6,
-    told: 0.85,
-    uneven: 0.0,
-    restarted: 0.0,
-    beginnings: 60,
-    release: false,
+    load_fraction: 0.6,
+    quota_fraction: 0.85,
+    first_router_bias: 0.0,
+    restarted_fraction: 0.0,
+    prefixes: 60,
+    half_of_readers_start: false,
 };
 
 #[rstest]
-#[case::few_routers(Fleet { routers: 3, readers: 6, ..USUAL })]
-#[case::usual(USUAL)]
-#[case::hundreds(Fleet { routers: 300, readers: 60, ..USUAL })]
-#[case::most_restarted(Fleet { restarted: 0.8, ..USUAL })]
-#[case::hundreds_most_restarted(Fleet { routers: 300, readers: 60, restarted: 0.8, ..USUAL })]
-#[case::uneven(Fleet { uneven: 0.15, ..USUAL })]
-#[case::hundreds_uneven_restarted(Fleet { routers: 300, uneven: 0.15, restarted: 0.8, ..USUAL })]
-#[case::at_the_shares(Fleet { comes: 1.0, restarted: 0.8, ..USUAL })]
-#[case::beyond_the_shares(Fleet { routers: 300, comes: 1.3, restarted: 0.8, ..USUAL })]
-#[case::one_beginning(Fleet { beginnings: 1, restarted: 0.8, ..USUAL })]
-#[case::few_beginnings_in_a_release(Fleet { beginnings: 4, release: true, restarted: 0.8, ..USUAL })]
-#[case::shares_not_told(Fleet { told: 0.0, restarted: 0.8, ..USUAL })]
-fn all_routers_together_keep_to_the_cold_budget(#[case] fleet: Fleet) {
-    let plays: Vec<_> = (0..8).map(|seed| fleet.play(seed, 6.0, 8.0)).collect();
-    let over: Vec<_> = plays.iter().map(|sent| worst(sent)).collect();
-    assert!(over.iter().all(|over| *over <= 0.0), "{over:.1?}");
-    // What is kept from it altogether stands idle.
-    assert!(plays.iter().map(Vec::len).sum::<usize>() > 0);
+#[case::few_routers(Fleet { routers: 3, readers: 6, ..BASELINE })]
+#[case::baseline(BASELINE)]
+#[case::hundreds_of_routers(Fleet { routers: 300, readers: 60, ..BASELINE })]
+#[case::most_routers_restarted(Fleet { restarted_fraction: 0.8, ..BASELINE })]
+#[case::hundreds_of_routers_most_restarted(Fleet {
+    routers: 300,
+    readers: 60,
+    restarted_fraction: 0.8,
+    ..BASELINE
+})]
+#[case::uneven_load(Fleet { first_router_bias: 0.15, ..BASELINE })]
+#[case::hundreds_of_routers_uneven_load_restarted(Fleet {
+    routers: 300,
+    first_router_bias: 0.15,
+    restarted_fraction: 0.8,
+    ..BASELINE
+})]
+#[case::load_at_the_quotas(Fleet { load_fraction: 1.0, restarted_fraction: 0.8, ..BASELINE })]
+#[case::load_beyond_the_quotas(Fleet {
+    routers: 300,
+    load_fraction: 1.3,
+    restarted_fraction: 0.8,
+    ..BASELINE
+})]
+#[case::one_prefix(Fleet { prefixes: 1, restarted_fraction: 0.8, ..BASELINE })]
+#[case::few_prefixes_in_a_release(Fleet {
+    prefixes: 4,
+    half_of_readers_start: true,
+    restarted_fraction: 0.8,
+    ..BASELINE
+})]
+#[case::quotas_not_configured(Fleet { quota_fraction: 0.0, restarted_fraction: 0.8, ..BASELINE })]
+fn all_routers_together_stay_within_the_slow_start_budget(#[case] fleet: Fleet) {
+    let runs: Vec<_> = (0..8).map(|seed| fleet.run(seed, 6.0, 8.0)).collect();
+    let excess: Vec<_> = runs.iter().map(|sent| worst_excess(sent)).collect();
+    assert!(
+        excess.iter().all(|excess| *excess <= 0.0),
+        "requests beyond the budget in the worst window of each run: {excess:.1?}"
+    );
+    // A server that gets no request at all would be idle.
+    assert!(runs.iter().map(Vec::len).sum::<usize>() > 0);
 }
 
-/// Five writers that may just be one of a zone's, and what is to be written there.
-fn writers_of_a_zone() -> Harness {
+/// A router with two readers and five writers, with a long warm-up time.
+fn router_with_five_writers() -> Harness {
     let settings = Settings { warm_after: 60 * SECOND, cold_from: 0.25, overload_factor: 1.5, ..settings() };
     Harness::new(settings, &[1, 2, 11, 12, 13, 14, 15])
 }
 
-/// Asks, has the prompt read, and gives the writer that it goes to.
-fn written_at(h: &mut Harness, name: &str) -> Option<u32> {
-    h.ask(Arrival { session: Some(name.into()), ..arrival(name) });
-    let writer = sends(&h.read(name, 0), name).first().copied();
-    h.now += 10_000;
+/// Sends a request, completes its read and returns the writer that it goes to.
+fn writer_of_request(harness: &mut Harness, name: &str) -> Option<u32> {
+    harness.ask(Arrival { session: Some(name.into()), ..arrival(name) });
+    let writer = sends(&harness.read(name, 0), name).first().copied();
+    harness.now += 10_000;
     writer
 }
 
-/// How many of eighty requests, each served at once, go to a writer.
-fn part_at(h: &mut Harness, writer: u32, of: &str) -> usize {
-    let mut served_there = |n: usize| {
-        let name = format!("{of}-{n}");
-        let at = written_at(h, &name);
-        h.first(&name, 1);
-        h.outcome(&name, 1, Status::Served, 0.0, Load::default());
-        at == Some(writer)
+/// Number of 80 requests, each served at once, that go to the given writer.
+fn requests_served_at(harness: &mut Harness, writer: u32, name_prefix: &str) -> usize {
+    let mut is_served_at_writer = |n: usize| {
+        let name = format!("{name_prefix}-{n}");
+        let chosen = writer_of_request(harness, &name);
+        harness.first(&name, 1);
+        harness.outcome(&name, 1, Status::Served, 0.0, Load::default());
+        chosen == Some(writer)
     };
-    (0..80).filter(|n| served_there(*n)).count()
+    (0..80).filter(|n| is_served_at_writer(*n)).count()
 }
 
-/// Sends requests until one goes to a writer, and gives its name; the others are served.
-fn first_at(h: &mut Harness, writer: u32, of: &str) -> String {
-    for n in 0..200 {
-        let name = format!("{of}-{n}");
-        if written_at(h, &name) == Some(writer) {
+/// Sends requests until one goes to the given writer and returns its name; the others are served.
+fn first_request_at(harness: &mut Harness, writer: u32, name_prefix: &str) -> String {
+    for number in 0..200 {
+        let name = format!("{name_prefix}-{number}");
+        if writer_of_request(harness, &name) == Some(writer) {
             return name;
         }
-        h.first(&name, 1);
-        h.outcome(&name, 1, Status::Served, 0.0, Load::default());
+        harness.first(&name, 1);
+        harness.outcome(&name, 1, Status::Served, 0.0, Load::default());
     }
-    panic!("nothing goes to {writer}");
+    panic!("no request goes to writer {writer}");
 }
 
-// Machines that had vanished came back cold, which the list told seconds later: each gateway sent its usual part as soon
-// as one answered, and one after the other fell over for good.
+// Lost machines came back cold, but the roster reported their restart seconds later. Each gateway sent its
+// usual part as soon as a machine responded, and one machine after the other collapsed under the load and did
+// not recover.
 #[rstest]
 #[case::no_connection(Status::NoConnection)]
 #[case::reset(Status::Reset)]
-fn server_that_answers_after_a_break_may_have_just_started(#[case] lost: Status) {
-    let mut h = writers_of_a_zone();
-    let usual = part_at(&mut h, 11, "usual");
-    assert!(usual >= 10, "{usual}");
-    let broken = first_at(&mut h, 11, "broken");
-    h.now += 250_000;
-    h.ended(&broken, 1, lost);
-    h.wait(SECOND);
-    let trial = first_at(&mut h, 11, "trial");
-    h.first(&trial, 1);
-    h.outcome(&trial, 1, Status::Served, 0.0, Load::default());
-    let suspected = part_at(&mut h, 11, "suspected");
-    assert!(suspected <= usual / 2, "{suspected} of {usual}");
-    // By now the list would have told of a start.
-    h.wait(7 * SECOND);
-    let after = part_at(&mut h, 11, "after");
-    assert!(after >= 10, "{after}");
+fn server_that_answers_after_a_break_is_treated_as_restarted(#[case] lost: Status) {
+    let mut harness = router_with_five_writers();
+    let usual = requests_served_at(&mut harness, 11, "usual");
+    assert!(usual >= 10, "{usual} of 80 requests before the break");
+    let broken = first_request_at(&mut harness, 11, "broken");
+    harness.now += 250_000;
+    harness.ended(&broken, 1, lost);
+    harness.wait(SECOND);
+    let trial = first_request_at(&mut harness, 11, "trial");
+    harness.first(&trial, 1);
+    harness.outcome(&trial, 1, Status::Served, 0.0, Load::default());
+    let suspected = requests_served_at(&mut harness, 11, "suspected");
+    assert!(suspected <= usual / 2, "{suspected} of 80 requests after the break, {usual} before");
+    // By now the roster would have reported a restart.
+    harness.wait(7 * SECOND);
+    let recovered = requests_served_at(&mut harness, 11, "after");
+    assert!(recovered >= 10, "{recovered} of 80 requests after the recovery");
 }
 
-// Cut off, a machine's open connections stay open: an answer over one shows that it never stopped, and it has its usual
-// part back at once.
+// The open connections of an unreachable machine stay open. A response over one of them proves that the
+// machine was not restarted, so it gets its usual part back at once.
 #[test]
-fn server_that_answers_over_an_old_connection_has_not_started_again() {
-    let mut h = writers_of_a_zone();
-    let old = h.now;
-    let broken = first_at(&mut h, 11, "broken");
-    h.now += 250_000;
-    h.ended(&broken, 1, Status::NoConnection);
-    h.wait(SECOND);
-    let trial = first_at(&mut h, 11, "trial");
-    h.handle(&[Event::LivedOn { server: ServerId(11), since: old }]);
-    h.first(&trial, 1);
-    h.outcome(&trial, 1, Status::Served, 0.0, Load::default());
-    let after = part_at(&mut h, 11, "after");
-    assert!(after >= 10, "{after}");
+fn server_that_answers_over_an_old_connection_is_not_treated_as_restarted() {
+    let mut harness = router_with_five_writers();
+    let connected_since = harness.now;
+    let broken = first_request_at(&mut harness, 11, "broken");
+    harness.now += 250_000;
+    harness.ended(&broken, 1, Status::NoConnection);
+    harness.wait(SECOND);
+    let trial = first_request_at(&mut harness, 11, "trial");
+    harness.handle(&[Event::LivedOn { server: ServerId(11), since: connected_since }]);
+    harness.first(&trial, 1);
+    harness.outcome(&trial, 1, Status::Served, 0.0, Load::default());
+    let recovered = requests_served_at(&mut harness, 11, "after");
+    assert!(recovered >= 10, "{recovered} of 80 requests after the recovery");
 }
 
-// One lost connection says nothing of a process that goes on to answer what it had before.
+// A lost connection does not indicate a restart if the process still answers requests that it got before.
 #[test]
-fn server_that_answers_what_it_had_before_a_break_has_not_started_again() {
-    let mut h = writers_of_a_zone();
+fn server_that_answers_earlier_requests_after_a_break_is_not_treated_as_restarted() {
+    let mut harness = router_with_five_writers();
     let names: Vec<_> = (0..10).map(|n| format!("open-{n}")).collect();
-    let at_11: Vec<_> = names.iter().filter(|name| written_at(&mut h, name) == Some(11)).collect();
-    let [before, broken, ..] = at_11[..] else { panic!("{at_11:?}") };
-    h.ended(broken, 1, Status::Reset);
+    let requests_at_11: Vec<_> =
+        names.iter().filter(|name| writer_of_request(&mut harness, name) == Some(11)).collect();
+    let [unaffected, broken, ..] = requests_at_11[..] else {
+        panic!("fewer than two requests at writer 11: {requests_at_11:?}")
+    };
+    harness.ended(broken, 1, Status::Reset);
     for name in names.iter().filter(|name| *name != broken) {
-        h.first(name, 1);
-        h.outcome(name, 1, Status::Served, 0.0, Load::default());
+        harness.first(name, 1);
+        harness.outcome(name, 1, Status::Served, 0.0, Load::default());
     }
-    assert_ne!(before, broken);
-    h.wait(SECOND);
-    let after = part_at(&mut h, 11, "after");
-    assert!(after >= 10, "{after}");
+    assert_ne!(unaffected, broken);
+    harness.wait(SECOND);
+    let recovered = requests_served_at(&mut harness, 11, "after");
+    assert!(recovered >= 10, "{recovered} of 80 requests after the recovery");
 }
 
-// All but one writer, of another zone and cold, had vanished: the zones' traffic came to it one on top of the other.
+// All writers were lost but one, which was cold and, for most routers, in another zone. The traffic of all
+// zones added up at that writer.
 #[rstest]
-#[case::one_process_a_zone(3, 30)]
-#[case::several_processes_a_zone(9, 30)]
-fn cold_server_that_is_left_alone_keeps_to_its_budget(#[case] routers: u32, #[case] each: usize) {
+#[case::one_process_per_zone(3, 30)]
+#[case::several_processes_per_zone(9, 30)]
+fn only_remaining_cold_server_stays_within_its_budget(
+    #[case] routers: u32,
+    #[case] requests_per_router: usize,
+) {
     let started_at = 100_000_000 - SECOND;
     let cold = Entry { started_at, ..zoned(11, 0) };
     let others = |condition| (12..18).map(move |n| Entry { condition, ..zoned(n, n % 3) });
     let readers = [zoned(1, 0), zoned(2, 1), zoned(3, 2)];
-    let listed = |condition| readers.iter().cloned().chain([cold.clone()]).chain(others(condition)).collect();
+    let entries =
+        |condition| readers.iter().cloned().chain([cold.clone()]).chain(others(condition)).collect();
     let mut sent = 0;
     for number in 0..routers {
         let settings = Settings {
@@ -274,14 +311,17 @@
             overload_factor: 2.5,
             ..settings()
         };
-        let mut h = Harness::new(settings, &[]);
-        h.roster(listed(Condition::Ready));
-        h.roster(listed(Condition::Gone));
+        let mut harness = Harness::new(settings, &[]);
+        harness.roster(entries(Condition::Ready));
+        harness.roster(entries(Condition::Gone));
         let name = |n: usize| format!("s-{number}-{n}");
-        sent += (0..each).filter(|n| written_at(&mut h, &name(*n)) == Some(11)).count();
+        sent += (0..requests_per_router)
+            .filter(|n| writer_of_request(&mut harness, &name(*n)) == Some(11))
+            .count();
     }
-    // A writer of seven does one request a second: all within one window of 3 s, each router's in 1.8 s.
-    let regular = 2.5 * (0.3 + 0.7 * 2.8 / 13.0) * 3.0;
-    let budget = meadowlug::slow_start::budget(regular);
-    assert!(sent > 0 && sent as f64 <= budget, "{sent} of {budget:.1}");
+    // Each of seven writers completes one request per second. All requests fall into one window of 3 s, and
+    // those of each router take 1.8 s.
+    let regular_calls = 2.5 * (0.3 + 0.7 * 2.8 / 13.0) * 3.0;
+    let budget = meadowlug::slow_start::budget(regular_calls);
+    assert!(sent > 0 && sent as f64 <= budget, "{sent} requests sent, budget {budget:.1}");
 }
