--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules, one by one, each named for what would break it.
+//! Tests of the five rules of the protocol, each named for the behaviour that the rule demands.
 
 mod common;
 use common::*;
@@ -9,43 +9,43 @@
 }
 
 #[test]
-fn unanswered_request_gets_one_answer_before_its_client_leaves() {
-    let mut h = Harness::new(settings(), &[]);
-    let start = h.now;
-    h.ask(Arrival { expires_in: 300_000, ..arrival("a") });
+fn request_without_servers_gets_one_answer_before_its_client_leaves() {
+    let mut harness = Harness::new(settings(), &[]);
+    let start = harness.now;
+    harness.ask(Arrival { expires_in: 300_000, ..arrival("a") });
     let mut answers = 0;
-    while h.now < start + 400_000 {
-        let actions = h.wait(20_000);
+    while harness.now < start + 400_000 {
+        let actions = harness.wait(20_000);
         let answered = refused(&actions, "a") || failed(&actions, "a");
-        assert!(!answered || h.now <= start + 300_000, "answered after the client left");
+        assert!(!answered || harness.now <= start + 300_000, "answered after the client had left");
         answers += usize::from(answered);
     }
     assert_eq!(answers, 1);
 }
 
 #[test]
-fn request_past_its_time_is_answered_at_once() {
-    let mut h = Harness::new(settings(), &[1, 11]);
-    let actions = h.ask(Arrival { expires_in: 0, ..arrival("a") });
+fn expired_request_is_refused_at_once() {
+    let mut harness = Harness::new(settings(), &[1, 11]);
+    let actions = harness.ask(Arrival { expires_in: 0, ..arrival("a") });
     assert!(refused(&actions, "a"));
     assert!(sends(&actions, "a").is_empty());
 }
 
 #[test]
-fn short_patience_counts_not_the_class_deadline() {
-    let mut h = Harness::new(settings(), &[1, 11]);
-    assert_eq!(sends(&h.ask(Arrival { expires_in: 700_000, ..arrival("a") }), "a"), [1]);
-    let actions = h.wait(700_000);
+fn client_deadline_shorter_than_the_class_deadline_applies() {
+    let mut harness = Harness::new(settings(), &[1, 11]);
+    assert_eq!(sends(&harness.ask(Arrival { expires_in: 700_000, ..arrival("a") }), "a"), [1]);
+    let actions = harness.wait(700_000);
     assert!(refused(&actions, "a"));
 }
 
 #[test]
 fn unsafe_request_is_neither_repeated_nor_refused_after_an_ambiguous_writer_outcome() {
     for status in [Status::Error, Status::Reset, Status::TimedOut, Status::Cancelled] {
-        let mut h = Harness::new(settings(), &[1, 11, 12]);
-        h.ask(unsafe_request("a"));
-        h.read("a", 0);
-        let actions = h.ended("a", 1, status);
+        let mut harness = Harness::new(settings(), &[1, 11, 12]);
+        harness.ask(unsafe_request("a"));
+        harness.read("a", 0);
+        let actions = harness.ended("a", 1, status);
         assert!(failed(&actions, "a"), "{status:?}: {actions:?}");
         assert!(sends(&actions, "a").is_empty() && !refused(&actions, "a"));
     }
@@ -54,212 +54,214 @@
 #[test]
 fn unsafe_request_goes_on_after_an_outcome_that_proves_it_never_ran() {
     for status in [Status::Full, Status::NoConnection] {
-        let mut h = Harness::new(settings(), &[1, 11, 12]);
-        h.ask(unsafe_request("a"));
-        let first = sends(&h.read("a", 0), "a")[0];
-        let second = sends(&h.ended("a", 1, status), "a");
-        assert_eq!(second.len(), 1, "{status:?}");
-        assert_ne!(second[0], first);
+        let mut harness = Harness::new(settings(), &[1, 11, 12]);
+        harness.ask(unsafe_request("a"));
+        let first_writer = sends(&harness.read("a", 0), "a")[0];
+        let second_writer = sends(&harness.ended("a", 1, status), "a");
+        assert_eq!(second_writer.len(), 1, "{status:?}");
+        assert_ne!(second_writer[0], first_writer);
     }
 }
 
 #[test]
-fn unsafe_request_at_a_silent_writer_is_failed_not_refused_at_its_time() {
-    let mut h = Harness::new(settings(), &[1, 11, 12]);
-    h.ask(unsafe_request("a"));
-    h.read("a", 0);
-    let actions = h.wait(5_000_000);
+fn unsafe_request_at_a_silent_writer_is_failed_not_refused_at_its_deadline() {
+    let mut harness = Harness::new(settings(), &[1, 11, 12]);
+    harness.ask(unsafe_request("a"));
+    harness.read("a", 0);
+    let actions = harness.wait(5_000_000);
     assert!(failed(&actions, "a") && !refused(&actions, "a"));
     assert!(sends(&actions, "a").is_empty());
 }
 
 #[test]
-fn mixed_server_that_reads_by_itself_counts_as_a_writer() {
-    let mut h = Harness::new(settings(), &[21, 22]);
-    assert_eq!(sends(&h.ask(unsafe_request("a")), "a").len(), 1);
-    let actions = h.ended("a", 0, Status::Reset);
+fn server_that_reads_and_writes_counts_as_a_writer() {
+    let mut harness = Harness::new(settings(), &[21, 22]);
+    assert_eq!(sends(&harness.ask(unsafe_request("a")), "a").len(), 1);
+    let actions = harness.ended("a", 0, Status::Reset);
     assert!(failed(&actions, "a"));
 }
 
-fn keyed(group: Group, window: Micros) -> Settings {
+fn settings_with_keyed_class(group: Group, window: Micros) -> Settings {
     let effect = Effect::Keyed { group, window };
     Settings { classes: vec![Class { effect, ..Class::default() }], ..settings() }
 }
 
 #[test]
 fn keyed_request_stays_in_its_group_once_it_may_have_run() {
-    let mut h = Harness::new(keyed(Group::Zone, 5_000_000), &[]);
-    h.roster(vec![zoned(1, 0), zoned(11, 0), zoned(12, 0), zoned(13, 1)]);
-    h.ask(arrival("a"));
-    let first = sends(&h.read("a", 0), "a")[0];
-    assert_ne!(first, 13, "the reader's own zone comes first");
-    let second = sends(&h.ended("a", 1, Status::Reset), "a");
-    assert!([11, 12].contains(&second[0]) && second[0] != first);
-    let actions = h.ended("a", 2, Status::Reset);
+    let mut harness = Harness::new(settings_with_keyed_class(Group::Zone, 5_000_000), &[]);
+    harness.roster(vec![zoned(1, 0), zoned(11, 0), zoned(12, 0), zoned(13, 1)]);
+    harness.ask(arrival("a"));
+    let first_writer = sends(&harness.read("a", 0), "a")[0];
+    assert_ne!(first_writer, 13, "a writer of the reader's zone is preferred");
+    let second_writer = sends(&harness.ended("a", 1, Status::Reset), "a");
+    assert!([11, 12].contains(&second_writer[0]) && second_writer[0] != first_writer);
+    let actions = harness.ended("a", 2, Status::Reset);
     assert!(!sends(&actions, "a").contains(&13));
-    assert!(!refused(&h.wait(5_000_000), "a"), "a keyed request of one zone may not be refused");
+    assert!(!refused(&harness.wait(5_000_000), "a"), "a keyed request of one zone may not be refused");
 }
 
 #[test]
 fn keyed_request_is_not_sent_past_its_window() {
-    let mut h = Harness::new(keyed(Group::All, 400_000), &[1, 11, 12]);
-    h.ask(arrival("a"));
-    h.read("a", 0);
-    h.now += 450_000;
-    let mut actions = h.ended("a", 1, Status::Reset);
-    actions.extend(h.wait(5_000_000));
+    let mut harness = Harness::new(settings_with_keyed_class(Group::All, 400_000), &[1, 11, 12]);
+    harness.ask(arrival("a"));
+    harness.read("a", 0);
+    harness.now += 450_000;
+    let mut actions = harness.ended("a", 1, Status::Reset);
+    actions.extend(harness.wait(5_000_000));
     assert!(sends(&actions, "a").is_empty());
-    assert!(refused(&actions, "a"), "all servers drop repeats: refusing is harmless");
+    assert!(refused(&actions, "a"), "a refusal is harmless where all servers drop repeats");
 }
 
 #[test]
-fn drain_told_while_requests_are_held_stops_sends_at_once() {
-    let mut h = Harness::new(settings(), &[1, 11]);
-    for n in 0..8 {
-        h.ask(arrival(&n.to_string()));
+fn drain_announced_while_requests_are_queued_stops_sends_at_once() {
+    let mut harness = Harness::new(settings(), &[1, 11]);
+    for number in 0..8 {
+        harness.ask(arrival(&number.to_string()));
     }
     let draining = Entry { condition: Condition::Draining, ..entry(1) };
-    h.handle(&[Event::Roster { form: RosterForm::Delta, entries: vec![draining] }]);
-    let mut actions = h.read("0", 0);
-    actions.extend(h.wait(2_000_000));
+    harness.handle(&[Event::Roster { form: RosterForm::Delta, entries: vec![draining] }]);
+    let mut actions = harness.read("0", 0);
+    actions.extend(harness.wait(2_000_000));
     assert!(all_sends(&actions).iter().all(|(_, server)| *server != 1), "{actions:?}");
 }
 
 #[test]
-fn server_missing_from_a_whole_list_gets_nothing() {
-    let mut h = Harness::new(settings(), &[1, 2, 11]);
-    h.roster(vec![entry(2), entry(11)]);
-    for n in 0..4 {
-        assert!(!sends(&h.ask(arrival(&n.to_string())), &n.to_string()).contains(&1));
+fn server_missing_from_a_full_roster_gets_no_request() {
+    let mut harness = Harness::new(settings(), &[1, 2, 11]);
+    harness.roster(vec![entry(2), entry(11)]);
+    for number in 0..4 {
+        assert!(!sends(&harness.ask(arrival(&number.to_string())), &number.to_string()).contains(&1));
     }
 }
 
 #[test]
-fn burst_does_not_push_a_cold_reader_over() {
-    let mut h = Harness::new(Settings { replicas: 3, ..settings() }, &[]);
-    let cold = Entry { started_at: h.now, ..entry(2) };
-    h.roster(vec![entry(1), cold, entry(11)]);
-    let mut to_cold = 0;
-    for n in 0..30 {
-        let name = n.to_string();
-        let actions = h.ask(arrival(&name));
-        to_cold += all_sends(&actions).iter().filter(|(_, s)| *s == 2).count();
-        h.now += 10_000;
+fn burst_does_not_overload_a_cold_reader() {
+    let mut harness = Harness::new(Settings { replicas: 3, ..settings() }, &[]);
+    let cold = Entry { started_at: harness.now, ..entry(2) };
+    harness.roster(vec![entry(1), cold, entry(11)]);
+    let mut sent_to_cold = 0;
+    for number in 0..30 {
+        let name = number.to_string();
+        let actions = harness.ask(arrival(&name));
+        sent_to_cold += all_sends(&actions).iter().filter(|(_, s)| *s == 2).count();
+        harness.now += 10_000;
     }
-    // A warm reader's share is 15; what the rule allows at 0.3 of capacity and a multiple of 2 is 9.
-    assert!((1..9).contains(&to_cold), "sent {to_cold}");
+    // A warm reader gets 15 requests; at 0.3 of its capacity and an overload factor of 2 the rule allows 9.
+    assert!((1..9).contains(&sent_to_cold), "{sent_to_cold} of 30 requests went to the cold reader");
 }
 
 #[test]
-fn late_read_of_an_ended_request_is_let_go() {
-    let mut h = Harness::new(settings(), &[1, 11]);
-    h.ask(arrival("a"));
-    h.handle(&[Event::Abandoned { id: id("a") }]);
-    assert!(released(&h.read("a", 0), "a"));
+fn state_of_a_late_read_of_an_ended_request_is_released() {
+    let mut harness = Harness::new(settings(), &[1, 11]);
+    harness.ask(arrival("a"));
+    harness.handle(&[Event::Abandoned { id: id("a") }]);
+    assert!(released(&harness.read("a", 0), "a"));
 }
 
 #[test]
-fn state_without_a_writer_is_let_go_in_time() {
-    let mut h = Harness::new(settings(), &[1]);
-    h.roster(vec![entry(1), entry(11)]);
-    h.ask(arrival("a"));
-    h.roster(vec![entry(1)]);
-    h.read("a", 0);
-    assert!(released(&h.wait(480_000), "a"));
+fn state_without_a_writer_is_released_in_time() {
+    let mut harness = Harness::new(settings(), &[1]);
+    harness.roster(vec![entry(1), entry(11)]);
+    harness.ask(arrival("a"));
+    harness.roster(vec![entry(1)]);
+    harness.read("a", 0);
+    assert!(released(&harness.wait(480_000), "a"));
 }
 
 #[test]
-fn lost_answer_of_a_read_lets_go_of_what_it_may_have_left() {
-    let mut h = Harness::new(settings(), &[1, 2, 11]);
-    h.ask(arrival("a"));
-    assert!(released(&h.ended("a", 0, Status::Reset), "a"));
+fn lost_answer_of_a_read_releases_the_state_it_may_have_left() {
+    let mut harness = Harness::new(settings(), &[1, 2, 11]);
+    harness.ask(arrival("a"));
+    assert!(released(&harness.ended("a", 0, Status::Reset), "a"));
 }
 
 #[test]
-fn unsafe_request_is_not_refused_while_a_read_of_it_is_out() {
-    let mut h = Harness::new(settings(), &[1, 11]);
-    h.ask(unsafe_request("a"));
-    let mut actions = h.wait(4_960_000);
-    assert!(!refused(&actions, "a"), "refused with a read out");
+fn unsafe_request_is_not_refused_while_a_read_is_in_flight() {
+    let mut harness = Harness::new(settings(), &[1, 11]);
+    harness.ask(unsafe_request("a"));
+    let mut actions = harness.wait(4_960_000);
+    assert!(!refused(&actions, "a"), "the request was refused with a read in flight");
     assert!(actions.contains(&Action::Cancel { id: id("a"), attempt: 0 }));
-    actions = h.ended("a", 0, Status::Cancelled);
-    assert!(refused(&actions, "a"), "nothing ran: {actions:?}");
+    actions = harness.ended("a", 0, Status::Cancelled);
+    assert!(refused(&actions, "a"), "nothing ran, so the request must be refused: {actions:?}");
 }
 
 #[test]
-fn state_that_a_writer_could_not_fetch_is_let_go() {
-    let mut h = Harness::new(settings(), &[1, 11, 12]);
-    h.ask(arrival("a"));
-    h.read("a", 0);
-    let actions = h.outcome("a", 1, Status::Full, 1.0, Load::default());
-    assert!(released(&actions, "a"), "its reader may be cut off, not gone");
+fn state_that_a_writer_could_not_fetch_is_released() {
+    let mut harness = Harness::new(settings(), &[1, 11, 12]);
+    harness.ask(arrival("a"));
+    harness.read("a", 0);
+    let actions = harness.outcome("a", 1, Status::Full, 1.0, Load::default());
+    assert!(released(&actions, "a"), "the reader may still hold the state although it is unreachable");
 }
 
-// No connection comes up to a zone that is cut off, and the time of what is held runs on meanwhile: each
-// failed dial of 250 ms counted as if the state had been read just then, so that it stayed held for a second.
+// Connections to an unreachable zone time out, and the hold timeout of a state continues meanwhile. Each
+// failed dial of 250 ms restarted the timeout as if the state had just been read, so the state was held for a
+// second.
 #[test]
-fn state_whose_writers_cannot_be_reached_is_let_go_in_time() {
-    let lets_go = Settings { let_go: 300_000, ..settings() };
-    let mut h = Harness::new(lets_go, &[1, 11, 12, 13, 14]);
-    h.ask(arrival("a"));
-    h.read("a", 0);
-    let read_at = h.now;
+fn state_whose_writers_are_unreachable_is_released_in_time() {
+    let short_hold = Settings { let_go: 300_000, ..settings() };
+    let mut harness = Harness::new(short_hold, &[1, 11, 12, 13, 14]);
+    harness.ask(arrival("a"));
+    harness.read("a", 0);
+    let read_at = harness.now;
     for attempt in 1..4 {
-        let mut actions = h.wait(250_000);
-        actions.extend(h.ended("a", attempt, Status::NoConnection));
+        let mut actions = harness.wait(250_000);
+        actions.extend(harness.ended("a", attempt, Status::NoConnection));
         if released(&actions, "a") {
             break;
         }
     }
-    assert!(h.now - read_at <= 300_000, "held for {} ms", (h.now - read_at) / 1000);
+    assert!(harness.now - read_at <= 300_000, "the state was held for {} ms", (harness.now - read_at) / 1000);
 }
 
-// Held until its client left, a request whose repeats were no longer harmless could get no other answer than at once.
+// A request whose repeats were no longer harmless was kept open until its client left, although no other
+// answer than a failure was possible any more.
 #[test]
 fn keyed_request_past_its_window_is_failed_at_once() {
-    let mut h = Harness::new(keyed(Group::Zone, 1_000_000), &[1, 11]);
-    h.ask(unsafe_request("a"));
-    h.read("a", 0);
-    h.roster(vec![entry(1), Entry { condition: Condition::Draining, ..entry(11) }]);
-    // A repeat is not begun in the last 200 ms, in which it could still be on its way as the window ends.
-    h.now += 780_000;
-    let actions = h.ended("a", 1, Status::Reset);
-    assert!(!failed(&actions, "a"), "there is time for a repeat");
-    let actions = h.wait(40_000);
+    let mut harness = Harness::new(settings_with_keyed_class(Group::Zone, 1_000_000), &[1, 11]);
+    harness.ask(unsafe_request("a"));
+    harness.read("a", 0);
+    harness.roster(vec![entry(1), Entry { condition: Condition::Draining, ..entry(11) }]);
+    // No repeat is sent in the last 200 ms of the window, since it might arrive only after the window's end.
+    harness.now += 780_000;
+    let actions = harness.ended("a", 1, Status::Reset);
+    assert!(!failed(&actions, "a"), "the request was failed although a repeat was still possible");
+    let actions = harness.wait(40_000);
     assert!(failed(&actions, "a") && !refused(&actions, "a"), "{actions:?}");
 }
 
-// Decided in time, a repeat was written after the window, once its connection had come up.
+// A repeat was decided within the window but written after it, because its connection was established late.
 #[test]
-fn repeat_of_a_keyed_request_is_told_by_when_it_must_be_written() {
-    let mut h = Harness::new(keyed(Group::All, 1_000_000), &[1, 11, 12]);
-    let written_by = |actions: &[Action]| {
-        let by = |action: &Action| match action {
+fn repeat_of_a_keyed_request_carries_the_time_by_which_it_must_be_written() {
+    let mut harness = Harness::new(settings_with_keyed_class(Group::All, 1_000_000), &[1, 11, 12]);
+    let repeat_deadline = |actions: &[Action]| {
+        let deadline_of_send = |action: &Action| match action {
             Action::Send { repeat_before, .. } => Some(*repeat_before),
             _ => None,
         };
-        actions.iter().find_map(by).expect("it is sent")
+        actions.iter().find_map(deadline_of_send).expect("the request is sent")
     };
-    assert_eq!(written_by(&h.ask(unsafe_request("a"))), None);
-    let first = h.read("a", 0);
-    let sent = h.now;
-    assert_eq!(written_by(&first), None);
-    h.now += 300_000;
-    assert_eq!(written_by(&h.ended("a", 1, Status::Reset)), Some(sent + 1_000_000));
+    assert_eq!(repeat_deadline(&harness.ask(unsafe_request("a"))), None);
+    let after_read = harness.read("a", 0);
+    let sent_at = harness.now;
+    assert_eq!(repeat_deadline(&after_read), None);
+    harness.now += 300_000;
+    assert_eq!(repeat_deadline(&harness.ended("a", 1, Status::Reset)), Some(sent_at + 1_000_000));
 }
 
-// Settings read again in the middle of a request made one that must not run twice pass for a safe one.
+// A settings reload during a request that must not run twice made the request count as safe to repeat.
 #[test]
-fn request_keeps_the_settings_under_which_it_came() {
-    let safe = Settings { classes: vec![Class::default(); 2], max_attempts: 9, ..settings() };
-    let mut h = Harness::new(settings(), &[1, 11, 12]);
-    h.ask(unsafe_request("a"));
-    h.read("a", 0);
-    h.handle(&[Event::Settings(safe)]);
-    let actions = h.ended("a", 1, Status::Reset);
+fn request_keeps_the_settings_under_which_it_arrived() {
+    let safe_classes = Settings { classes: vec![Class::default(); 2], max_attempts: 9, ..settings() };
+    let mut harness = Harness::new(settings(), &[1, 11, 12]);
+    harness.ask(unsafe_request("a"));
+    harness.read("a", 0);
+    harness.handle(&[Event::Settings(safe_classes)]);
+    let actions = harness.ended("a", 1, Status::Reset);
     assert!(failed(&actions, "a") && sends(&actions, "a").is_empty(), "{actions:?}");
-    // What comes now is of a safe class.
-    h.ask(unsafe_request("b"));
-    h.read("b", 0);
-    assert_eq!(sends(&h.ended("b", 1, Status::Reset), "b").len(), 1);
+    // A request that arrives now belongs to a safe class.
+    harness.ask(unsafe_request("b"));
+    harness.read("b", 0);
+    assert_eq!(sends(&harness.ended("b", 1, Status::Reset), "b").len(), 1);
 }
