--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -1,5 +1,5 @@
-//! Who is answered when a small fleet is busy: long prompts beside short ones, sessions, tenants, beginnings and gateways
-//! beside each other. The routers of a made-up fleet are played against readers that work in turn.
+//! Fairness of a small, busy fleet: the fraction of requests that are answered, compared between long and
+//! short prompts, sessions, tenants, prefixes and gateways. The simulated readers process one read at a time.
 
 mod common;
 use common::*;
@@ -11,47 +11,48 @@
 const ROUTERS: usize = 3;
 const READERS: [u32; 4] = [1, 2, 3, 4];
 const WRITERS: [u32; 4] = [11, 12, 13, 14];
-/// What a read takes beside its tokens, and for each thousand of them.
+/// Duration of a read without any tokens.
 const READ_BASE_S: f64 = 0.06;
+/// Additional duration of a read for each thousand tokens.
 const READ_PER_KILOTOKEN_S: f64 = 0.08;
-/// One prompt in so many is a long one.
+/// On average one prompt in `LONG_EVERY` is long.
 const LONG_EVERY: usize = 12;
 
-/// A request as it was asked, and how it ended.
+/// A request of the simulation, and its result.
 #[derive(Clone, Debug)]
-struct Asked {
+struct Request {
     session: usize,
     tenant: usize,
-    beginning: usize,
+    prefix_number: usize,
     router: usize,
     long: bool,
     answered: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Asks(usize),
-    Tells { router: usize, name: String, attempt: u32, status: u8 },
-    Begins { router: usize, name: String, attempt: u32 },
-    Wakes(usize),
+enum SimulatedEvent {
+    Arrives(usize),
+    AttemptEnds { router: usize, name: String, attempt: u32, status: u8 },
+    ResponseStarts { router: usize, name: String, attempt: u32 },
+    TimerExpires(usize),
 }
 
-/// A fleet that is asked `load` times what its readers can do.
-struct Play {
+/// State of a running simulation of the fleet.
+struct Simulation {
     routers: Vec<Harness>,
-    due: BinaryHeap<std::cmp::Reverse<(Micros, Due)>>,
+    queue: BinaryHeap<std::cmp::Reverse<(Micros, SimulatedEvent)>>,
     free_at: BTreeMap<u32, Micros>,
     attempts: HashMap<String, u32>,
-    asked: Vec<Asked>,
-    draws: fastrand::Rng,
+    requests: Vec<Request>,
+    rng: fastrand::Rng,
     now: Micros,
 }
 
 const STATUSES: [Status; 3] = [Status::Read, Status::Served, Status::Cancelled];
 
-impl Play {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        let router = || {
+        let new_router = || {
             let classes = vec![Class { aim: 1_500_000, aim_per_1000: 40_000, ..Class::default() }];
             let settings = Settings {
                 replicas: ROUTERS as u32,
@@ -63,23 +64,23 @@
             Harness::new(settings, &[&READERS[..], &WRITERS[..]].concat())
         };
         Self {
-            routers: (0..ROUTERS).map(|_| router()).collect(),
-            due: BinaryHeap::new(),
+            routers: (0..ROUTERS).map(|_| new_router()).collect(),
+            queue: BinaryHeap::new(),
             free_at: BTreeMap::new(),
             attempts: HashMap::new(),
-            asked: Vec::new(),
-            draws: fastrand::Rng::with_seed(seed),
+            requests: Vec::new(),
+            rng: fastrand::Rng::with_seed(seed),
             now: 100_000_000,
         }
     }
 
-    fn later(&mut self, after_s: f64, due: Due) {
-        let at = self.now + (after_s.max(0.0) * SECOND) as Micros;
-        self.due.push(std::cmp::Reverse((at, due)));
+    fn schedule(&mut self, after_s: f64, simulated_event: SimulatedEvent) {
+        let due_at = self.now + (after_s.max(0.0) * SECOND) as Micros;
+        self.queue.push(std::cmp::Reverse((due_at, simulated_event)));
     }
 
-    fn tokens(asked: &Asked) -> f64 {
-        if asked.long { 6_000.0 } else { 700.0 }
+    fn tokens(request: &Request) -> f64 {
+        if request.long { 6_000.0 } else { 700.0 }
     }
 
     fn carry_out(&mut self, router: usize, actions: Vec<Action>) {
@@ -87,10 +88,13 @@
             match action {
                 Action::Send { id, server, .. } => self.send(router, id.0.to_string(), server.0),
                 Action::Cancel { id, attempt } => {
-                    let tells = Due::Tells { router, name: id.0.to_string(), attempt, status: 2 };
-                    self.later(0.01, tells);
+                    let attempt_end =
+                        SimulatedEvent::AttemptEnds { router, name: id.0.to_string(), attempt, status: 2 };
+                    self.schedule(0.01, attempt_end);
+                }
+                Action::Timer { after, .. } => {
+                    self.schedule(after as f64 / SECOND, SimulatedEvent::TimerExpires(router))
                 }
-                Action::Timer { after, .. } => self.later(after as f64 / SECOND, Due::Wakes(router)),
                 _ => {}
             }
         }
@@ -98,27 +102,30 @@
 
     fn send(&mut self, router: usize, name: String, server: u32) {
         let attempt = *self.attempts.entry(name.clone()).and_modify(|n| *n += 1).or_insert(0);
-        let asked = self.asked[name.parse::<usize>().expect("a number")].clone();
+        let request = self.requests[name.parse::<usize>().expect("request names are numbers")].clone();
         if READERS.contains(&server) {
-            let free = self.free_at.get(&server).copied().unwrap_or(0).max(self.now);
-            let takes = READ_BASE_S + READ_PER_KILOTOKEN_S * Self::tokens(&asked) / 1000.0;
-            let done = free + (takes * SECOND) as Micros;
-            self.free_at.insert(server, done);
-            self.later((done - self.now) as f64 / SECOND, Due::Tells { router, name, attempt, status: 0 });
+            let starts_at = self.free_at.get(&server).copied().unwrap_or(0).max(self.now);
+            let read_s = READ_BASE_S + READ_PER_KILOTOKEN_S * Self::tokens(&request) / 1000.0;
+            let finished_at = starts_at + (read_s * SECOND) as Micros;
+            self.free_at.insert(server, finished_at);
+            self.schedule(
+                (finished_at - self.now) as f64 / SECOND,
+                SimulatedEvent::AttemptEnds { router, name, attempt, status: 0 },
+            );
         } else {
-            self.later(0.04, Due::Begins { router, name: name.clone(), attempt });
-            self.later(1.0, Due::Tells { router, name, attempt, status: 1 });
+            self.schedule(0.04, SimulatedEvent::ResponseStarts { router, name: name.clone(), attempt });
+            self.schedule(1.0, SimulatedEvent::AttemptEnds { router, name, attempt, status: 1 });
         }
     }
 
-    fn take(&mut self, due: Due) {
-        let (router, event) = match due {
-            Due::Wakes(router) => (router, Event::Timer { token: 0 }),
-            Due::Begins { router, name, attempt } => {
-                self.asked[name.parse::<usize>().expect("a number")].answered = true;
+    fn deliver(&mut self, simulated_event: SimulatedEvent) {
+        let (router, event) = match simulated_event {
+            SimulatedEvent::TimerExpires(router) => (router, Event::Timer { token: 0 }),
+            SimulatedEvent::ResponseStarts { router, name, attempt } => {
+                self.requests[name.parse::<usize>().expect("request names are numbers")].answered = true;
                 (router, Event::First { id: id(&name), attempt })
             }
-            Due::Tells { router, name, attempt, status } => {
+            SimulatedEvent::AttemptEnds { router, name, attempt, status } => {
                 let status = STATUSES[usize::from(status)];
                 let (finished, load) = (status == Status::Served, Load::default());
                 (
@@ -126,17 +133,17 @@
                     Event::Outcome(Outcome { id: id(&name), attempt, status, finished, note: 0.0, load }),
                 )
             }
-            Due::Asks(n) => {
-                let asked = &self.asked[n];
-                let ask = Arrival {
-                    session: Some(format!("session {}", asked.session).into()),
-                    prefix: Some(format!("beginning {}", asked.beginning).into()),
+            SimulatedEvent::Arrives(index) => {
+                let request = &self.requests[index];
+                let new_arrival = Arrival {
+                    session: Some(format!("session {}", request.session).into()),
+                    prefix: Some(format!("beginning {}", request.prefix_number).into()),
                     prefix_tokens: 0.0,
-                    prompt_tokens: Self::tokens(asked),
-                    tenant: asked.tenant,
-                    ..arrival(&n.to_string())
+                    prompt_tokens: Self::tokens(request),
+                    tenant: request.tenant,
+                    ..arrival(&index.to_string())
                 };
-                (asked.router, Event::Request(ask))
+                (request.router, Event::Request(new_arrival))
             }
         };
         self.routers[router].now = self.now;
@@ -144,96 +151,116 @@
         self.carry_out(router, actions);
     }
 
-    /// Plays a minute; gives what was asked after the first ten seconds.
-    fn run(mut self, load: f64) -> Vec<Asked> {
+    /// Simulates a minute at `load` times the readers' capacity; returns the requests after the first ten
+    /// seconds.
+    fn run(mut self, load: f64) -> Vec<Request> {
         let mean_kilotokens = 0.7 + (6.0 - 0.7) / LONG_EVERY as f64;
         let rate = load * READERS.len() as f64 / (READ_BASE_S + READ_PER_KILOTOKEN_S * mean_kilotokens);
-        let mut at_s = 0.0;
-        while at_s < 60.0 {
-            at_s -= (1.0 - self.draws.f64()).ln() / rate;
-            let session = self.draws.usize(..150);
-            self.asked.push(Asked {
+        let mut arrives_at_s = 0.0;
+        while arrives_at_s < 60.0 {
+            arrives_at_s -= (1.0 - self.rng.f64()).ln() / rate;
+            let session = self.rng.usize(..150);
+            self.requests.push(Request {
                 session,
                 tenant: session % 2,
-                beginning: session % 7,
-                router: self.draws.usize(..ROUTERS),
-                long: self.draws.usize(..LONG_EVERY) == 0,
+                prefix_number: session % 7,
+                router: self.rng.usize(..ROUTERS),
+                long: self.rng.usize(..LONG_EVERY) == 0,
                 answered: false,
             });
-            self.later(at_s, Due::Asks(self.asked.len() - 1));
+            self.schedule(arrives_at_s, SimulatedEvent::Arrives(self.requests.len() - 1));
         }
-        while let Some(std::cmp::Reverse((at, due))) = self.due.pop() {
-            self.now = at;
-            self.take(due);
+        while let Some(std::cmp::Reverse((due_at, simulated_event))) = self.queue.pop() {
+            self.now = due_at;
+            self.deliver(simulated_event);
         }
-        let early = (10.0 * rate) as usize;
-        self.asked.split_off(early)
+        let warm_up_requests = (10.0 * rate) as usize;
+        self.requests.split_off(warm_up_requests)
     }
 }
 
-/// The part of them that was answered.
-fn part<'a>(asked: impl Iterator<Item = &'a Asked>) -> f64 {
-    let (answered, all) =
-        asked.fold((0.0, 0.0), |(a, n), ask| (a + f64::from(u8::from(ask.answered)), n + 1.0));
-    answered / all
+/// Fraction of the given requests that were answered.
+fn answered_fraction<'a>(requests: impl Iterator<Item = &'a Request>) -> f64 {
+    let (answered, total) = requests.fold((0.0, 0.0), |(answered, total), request| {
+        (answered + f64::from(u8::from(request.answered)), total + 1.0)
+    });
+    answered / total
 }
 
-// The estimate of a read, and with it admission, was measured by the usual prompts: the longest were refused while there
-// was time for them.
+// The estimate of a read's duration, on which admission depends, followed the common short prompts. The
+// longest prompts were refused although there was time for them.
 #[rstest]
-#[case::quiet(0.5, 2.0 / 3.0)]
-#[case::busy(0.9, 0.5)]
-#[case::too_much(1.2, 0.5)]
-fn longest_prompts_are_answered_beside_the_others(#[case] load: f64, #[case] least: f64) {
+#[case::low_load(0.5, 2.0 / 3.0)]
+#[case::high_load(0.9, 0.5)]
+#[case::overload(1.2, 0.5)]
+fn longest_prompts_are_answered_at_least_half_as_often_as_all(#[case] load: f64, #[case] min_ratio: f64) {
     for seed in 0..3 {
-        let asked = Play::new(seed).run(load);
-        let (all, long) = (part(asked.iter()), part(asked.iter().filter(|ask| ask.long)));
-        assert!(long >= least * all, "seed {seed}: {long:.2} of the longest, {all:.2} of all");
-        assert!(load > 0.6 || all > 0.97, "seed {seed}: {all:.2}");
+        let requests = Simulation::new(seed).run(load);
+        let (all_answered, long_answered) = (
+            answered_fraction(requests.iter()),
+            answered_fraction(requests.iter().filter(|request| request.long)),
+        );
+        assert!(
+            long_answered >= min_ratio * all_answered,
+            "seed {seed}: {long_answered:.2} of the longest prompts answered, {all_answered:.2} of all"
+        );
+        assert!(load > 0.6 || all_answered > 0.97, "seed {seed}: {all_answered:.2} of all requests answered");
     }
 }
 
-/// How much further apart the parts of the groups lie than chance would have them, in standard deviations of each.
-fn apart(asked: &[Asked], group: impl Fn(&Asked) -> usize) -> f64 {
-    let all = part(asked.iter());
-    let groups: BTreeMap<_, Vec<&Asked>> = asked.iter().fold(BTreeMap::new(), |mut groups, ask| {
-        groups.entry(group(ask)).or_insert_with(Vec::new).push(ask);
+/// Root mean square deviation of the groups' answered fractions from the overall fraction, in standard
+/// deviations that chance alone would give each group.
+fn deviation_from_chance(requests: &[Request], group: impl Fn(&Request) -> usize) -> f64 {
+    let all_answered = answered_fraction(requests.iter());
+    let groups: BTreeMap<_, Vec<&Request>> = requests.iter().fold(BTreeMap::new(), |mut groups, request| {
+        groups.entry(group(request)).or_insert_with(Vec::new).push(request);
         groups
     });
-    let off = |members: &Vec<&Asked>| {
-        let deviation = (all * (1.0 - all) / members.len() as f64).sqrt().max(1e-3);
-        ((part(members.iter().copied()) - all) / deviation).powi(2)
+    let squared_deviation = |members: &Vec<&Request>| {
+        let standard_deviation =
+            (all_answered * (1.0 - all_answered) / members.len() as f64).sqrt().max(1e-3);
+        ((answered_fraction(members.iter().copied()) - all_answered) / standard_deviation).powi(2)
     };
-    (groups.values().map(off).sum::<f64>() / groups.len() as f64).sqrt()
+    (groups.values().map(squared_deviation).sum::<f64>() / groups.len() as f64).sqrt()
 }
 
-// Lots and limits are drawn by what a request names: nobody may draw the worse one each time.
+// Hashes and limits depend on the names in a request. No name may get the worse result each time.
 #[rstest]
-#[case::sessions(|ask: &Asked| ask.session, 2.0)]
-#[case::beginnings(|ask: &Asked| ask.beginning, 4.0)]
-#[case::tenants(|ask: &Asked| ask.tenant, 4.0)]
-#[case::gateways(|ask: &Asked| ask.router, 4.0)]
-fn refusals_single_nobody_out(#[case] group: fn(&Asked) -> usize, #[case] most: f64) {
+#[case::sessions(|request: &Request| request.session, 2.0)]
+#[case::prefixes(|request: &Request| request.prefix_number, 4.0)]
+#[case::tenants(|request: &Request| request.tenant, 4.0)]
+#[case::gateways(|request: &Request| request.router, 4.0)]
+fn refusals_are_spread_evenly_over_each_group(
+    #[case] group: fn(&Request) -> usize,
+    #[case] max_deviation: f64,
+) {
     for seed in 0..3 {
-        let asked = Play::new(seed).run(1.15);
-        let all = part(asked.iter());
-        assert!((0.2..0.98).contains(&all), "seed {seed}: {all:.2} answered tells nothing");
-        let apart = apart(&asked, group);
+        let requests = Simulation::new(seed).run(1.15);
+        let all_answered = answered_fraction(requests.iter());
+        assert!(
+            (0.2..0.98).contains(&all_answered),
+            "seed {seed}: {all_answered:.2} answered, too near to none or all for a comparison"
+        );
+        let deviation = deviation_from_chance(&requests, group);
         assert!(
-            apart <= most,
-            "seed {seed}: {apart:.1} times as far apart as by chance, {all:.2} of all answered"
+            deviation <= max_deviation,
+            "seed {seed}: deviation {deviation:.1} times that of chance, {all_answered:.2} of all answered"
         );
     }
 }
 
-// On a quiet day there is room for all of each.
+// At low load there is room for all requests of every session.
 #[test]
-fn nobody_is_refused_throughout_on_a_quiet_day() {
+fn no_session_is_mostly_refused_at_low_load() {
     for seed in 0..3 {
-        let asked = Play::new(seed).run(0.5);
+        let requests = Simulation::new(seed).run(0.5);
         for session in 0..150 {
-            let mut turns = asked.iter().filter(|ask| ask.session == session).peekable();
-            assert!(turns.peek().is_none() || part(turns) > 0.5, "seed {seed}: session {session}");
+            let mut session_requests =
+                requests.iter().filter(|request| request.session == session).peekable();
+            assert!(
+                session_requests.peek().is_none() || answered_fraction(session_requests) > 0.5,
+                "seed {seed}: session {session} was mostly refused"
+            );
         }
     }
 }
