--- a/tests/no_reports.rs
+++ b/tests/no_reports.rs
@@ -1,4 +1,5 @@
-//! A deployment whose servers report nothing and may not be asked, and where a request may have one attempt out at a time.
+//! A deployment whose servers report no load and may not be probed, and in which a request may have only one
+//! attempt in flight at a time.
 
 mod loopback;
 use loopback::*;
@@ -22,88 +23,96 @@
     settings
 }
 
-async fn daemon(targets: Vec<Value>) -> Daemon {
+async fn start_daemon(targets: Vec<Value>) -> Daemon {
     let discovery = Discovery::at(1, targets).await;
     let daemon = Daemon::configured(settings(), json!(null), json!({}), discovery.address, None).await;
     until("ready", async || daemon.is_ready().await).await;
     daemon
 }
 
-/// Ids of requests that a hung reader got, and when their connections closed.
-type Closed = Rc<RefCell<Vec<(String, Instant)>>>;
+/// Ids of the requests that a hung reader received, and the times at which their connections closed.
+type ClosedConnections = Rc<RefCell<Vec<(String, Instant)>>>;
 
-/// A reader that takes requests and answers none.
-async fn hung() -> (SocketAddr, Closed) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let closed = Closed::default();
-    let noted = closed.clone();
+/// Starts a reader that accepts requests and never answers.
+async fn start_hung_reader() -> (SocketAddr, ClosedConnections) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("the listener has an address");
+    let closed = ClosedConnections::default();
+    let closed_connections = closed.clone();
     spawn_local(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
-            let noted = noted.clone();
+            let closed_connections = closed_connections.clone();
             spawn_local(async move {
                 let Some(request) = message(&mut stream).await else { return };
                 let _ = stream.read_u8().await;
-                noted.borrow_mut().push((request.headers["req-id"].clone(), Instant::now()));
+                closed_connections.borrow_mut().push((request.headers["req-id"].clone(), Instant::now()));
             });
         }
     });
     (address, closed)
 }
 
-// The next attempt of a request begins only once the connection of the one that was given up is closed: the engine would
-// count the two as out at once.
+// The next attempt of a request may start only after the connection of the abandoned attempt is closed.
+// Otherwise the servers would count two attempts in flight at once.
 #[rstest]
 #[tokio::test]
-async fn attempt_begins_after_the_one_before_it_has_closed(#[values("lookup", "correction")] class: &str) {
+async fn attempt_starts_after_the_connection_of_the_previous_one_has_closed(
+    #[values("lookup", "correction")] class: &str,
+) {
     local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
-        let (address, closed) = hung().await;
-        let mut silent = reader.target("SERVING");
-        silent["uid"] = json!("r0");
-        silent["endpoint"] = json!(address.to_string());
-        let daemon = daemon(vec![silent, reader.target("SERVING"), writer.target("SERVING")]).await;
-        for n in 0..8 {
-            let answer = chat(daemon.address, &format!("a{n}"), class, 8000).await;
+        let (address, closed) = start_hung_reader().await;
+        let mut hung_target = reader.target("SERVING");
+        hung_target["uid"] = json!("r0");
+        hung_target["endpoint"] = json!(address.to_string());
+        let daemon =
+            start_daemon(vec![hung_target, reader.target("SERVING"), writer.target("SERVING")]).await;
+        for number in 0..8 {
+            let answer = chat(daemon.address, &format!("a{number}"), class, 8000).await;
             assert_eq!(answer.status, 200, "{answer:?}");
         }
         let closed = closed.borrow();
-        assert!(!closed.is_empty(), "the hung reader got nothing");
-        for (id, at) in closed.iter() {
+        assert!(!closed.is_empty(), "the hung reader received no request");
+        for (id, closed_at) in closed.iter() {
             let seen = reader.seen.borrow();
-            let again =
+            let repeated =
                 seen.iter().find(|seen| seen.headers.get("req-id") == Some(id) && seen.method == "POST");
-            let again = again.expect("read elsewhere").at;
-            assert!(*at <= again, "{id} was sent on {:?} before its connection closed", *at - again);
+            let repeated_at = repeated.expect("the request was read at the other reader").at;
+            assert!(
+                *closed_at <= repeated_at,
+                "{id} was sent again {:?} before its connection closed",
+                *closed_at - repeated_at
+            );
         }
     })
     .await;
 }
 
-// A probe that the settings do not allow is an error there, and costs where it is not.
+// A probe that the settings do not allow is an error in this deployment, and has a cost in others.
 #[tokio::test]
-async fn nothing_is_probed_and_no_place_is_asked_for() {
+async fn servers_receive_only_requests_and_releases() {
     local(async {
         let reader = Engine::start("r1", "reader").await;
         let writers = [Engine::start("w1", "writer").await, Engine::start("w2", "writer").await];
         writers[0].mode.set(Mode::Slow(300));
-        let daemon = daemon(vec![
+        let daemon = start_daemon(vec![
             reader.target("SERVING"),
             writers[0].target("SERVING"),
             writers[1].target("SERVING"),
         ])
         .await;
-        let to = daemon.address;
-        let asked: Vec<_> = (0..40)
-            .map(|n| spawn_local(async move { chat(to, &format!("a{n}"), "lookup", 8000).await.status }))
+        let address = daemon.address;
+        let chats: Vec<_> = (0..40)
+            .map(|n| spawn_local(async move { chat(address, &format!("a{n}"), "lookup", 8000).await.status }))
             .collect();
-        for asked in asked {
-            assert!(matches!(asked.await, Ok(200 | 429)));
+        for chat_status in chats {
+            assert!(matches!(chat_status.await, Ok(200 | 429)));
         }
         for engine in writers.iter().chain([&reader]) {
             let seen = engine.seen.borrow();
-            let other: Vec<_> = seen.iter().filter(|s| s.path != "/v1/chat/completions").collect();
-            assert!(other.iter().all(|seen| seen.method == "DELETE"), "{other:?}");
+            let other_calls: Vec<_> =
+                seen.iter().filter(|seen| seen.path != "/v1/chat/completions").collect();
+            assert!(other_calls.iter().all(|seen| seen.method == "DELETE"), "{other_calls:?}");
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     })
