--- a/src/gateway/guard.rs
+++ b/src/gateway/guard.rs
@@ -1,5 +1,5 @@
-//! The one guard for sending: whether an attempt may be written, asked right before its first byte, and checked again as
-//! that is written.
+//! The send guard: decides right before the first byte of an attempt if the attempt may be written, and
+//! checks the invariants when that byte is written.
 
 use super::invariants::{DRAIN_GRACE, Invariant, Invariants, LEFT_GRACE};
 use super::roster::Roster;
@@ -10,10 +10,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// For how long the process may be held up between reading its clock and writing (protocol).
-const HOLD_UP: Duration = Duration::from_millis(150);
+/// Maximum time for which the process may be paused between reading the clock and writing, fixed by the
+/// protocol.
+const MAX_PROCESS_PAUSE: Duration = Duration::from_millis(150);
 
-/// What the paths of a request have to know of each other: whether its client has left, and whether it was answered.
+/// The times at which the client of a request disconnected and the request was answered, shared by all tasks
+/// that work on the request.
 #[derive(Debug, Default)]
 pub(super) struct Lifecycle {
     client_left: Cell<Option<Instant>>,
@@ -30,31 +32,32 @@
     }
 }
 
-/// Why a send may not begin.
+/// The reason why a send must not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendRefusal {
-    /// Its client has left.
+    /// The client has disconnected.
     ClientLeft,
     /// The request has its final answer.
     Answered,
-    /// It is a repeat that could arrive after the window in which servers recognise it.
+    /// The attempt is a repeat that could arrive after the window in which servers recognise repeats.
     AfterWindow,
-    /// The server drains, was removed, or is out of use by hand.
+    /// The server drains, was removed, or is withheld by an operator.
     NotReady,
 }
 
 impl fmt::Display for SendRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::ClientLeft => "its client has left",
-            Self::Answered => "the request has its answer",
-            Self::AfterWindow => "too late for a repeat",
-            Self::NotReady => "told to drain while connecting",
+            Self::ClientLeft => "the client has disconnected",
+            Self::Answered => "the request is already answered",
+            Self::AfterWindow => "the window for repeats is over",
+            Self::NotReady => "the server became unavailable while connecting",
         })
     }
 }
 
-/// Tells whether an attempt may still be written, by the newest that was told of its server, its client and its request.
+/// Decides if an attempt may still be written, from the latest known state of its server, its client and its
+/// request.
 #[derive(Clone, Debug)]
 pub struct SendGuard {
     pub(super) roster: Rc<Roster>,
@@ -62,12 +65,13 @@
     pub(super) request: RequestId,
     pub(super) server: ServerId,
     pub(super) lifecycle: Rc<Lifecycle>,
-    /// When the window is over in which servers recognise a repeat, if this is one that depends on that.
+    /// End of the window in which servers recognise the attempt as a repeat; `None` if the attempt does not
+    /// rely on that.
     pub(super) repeat_before: Option<Instant>,
 }
 
 impl SendGuard {
-    /// Why a send may not begin now.
+    /// Returns the reason why a send must not begin now, or `None` if it may begin.
     pub fn refusal(&self) -> Option<SendRefusal> {
         if self.lifecycle.client_left.get().is_some() {
             return Some(SendRefusal::ClientLeft);
@@ -75,23 +79,23 @@
         if self.lifecycle.answered.get().is_some() {
             return Some(SendRefusal::Answered);
         }
-        if self.repeat_before.is_some_and(|end| end <= Instant::now() + HOLD_UP) {
+        if self.repeat_before.is_some_and(|window_end| window_end <= Instant::now() + MAX_PROCESS_PAUSE) {
             return Some(SendRefusal::AfterWindow);
         }
         (!self.roster.is_ready(self.server)).then_some(SendRefusal::NotReady)
     }
 
-    /// The first byte is being written: checks the invariants against the times at which each fact became known.
+    /// Checks the invariants when the first byte is written, using the times at which each fact became known.
     pub fn check_written(&self) {
         let now = Instant::now();
-        let late = |since: Option<Instant>, grace: Duration| since.is_some_and(|at| at + grace < now);
-        let broken = [
-            (late(self.roster.unready_since(self.server), DRAIN_GRACE), Invariant::NoSendAfterDrain),
-            (late(self.lifecycle.client_left.get(), LEFT_GRACE), Invariant::NoSendAfterClientLeft),
-            (late(self.lifecycle.answered.get(), Duration::ZERO), Invariant::NoSendAfterAnswer),
-            (late(self.repeat_before, Duration::ZERO), Invariant::NoRepeatAfterWindow),
+        let exceeds = |since: Option<Instant>, grace: Duration| since.is_some_and(|at| at + grace < now);
+        let checks = [
+            (exceeds(self.roster.unready_since(self.server), DRAIN_GRACE), Invariant::NoSendAfterDrain),
+            (exceeds(self.lifecycle.client_left.get(), LEFT_GRACE), Invariant::NoSendAfterClientLeft),
+            (exceeds(self.lifecycle.answered.get(), Duration::ZERO), Invariant::NoSendAfterAnswer),
+            (exceeds(self.repeat_before, Duration::ZERO), Invariant::NoRepeatAfterWindow),
         ];
-        for (_, invariant) in broken.iter().filter(|(broken, _)| *broken) {
+        for (_, invariant) in checks.iter().filter(|(is_violated, _)| *is_violated) {
             let detail = format!("server={:08x}", self.server.0);
             self.invariants.violated(*invariant, &self.request, detail);
         }
@@ -109,7 +113,7 @@
     fn guard(roster: &Rc<Roster>, repeat_before: Option<Instant>) -> SendGuard {
         SendGuard {
             roster: roster.clone(),
-            invariants: Invariants::new(Rc::new(Metrics::new().expect("lawful names"))),
+            invariants: Invariants::new(Rc::new(Metrics::new().expect("valid metric names"))),
             request: RequestId(Arc::from("a")),
             server: ServerId(1),
             lifecycle: Rc::default(),
@@ -119,36 +123,37 @@
 
     fn roster(condition: Condition) -> Rc<Roster> {
         let roster = Roster::default();
-        tell(&roster, condition);
+        set_condition(&roster, condition);
         Rc::new(roster)
     }
 
-    fn tell(roster: &Roster, condition: Condition) {
+    fn set_condition(roster: &Roster, condition: Condition) {
         let entry = Entry { server: ServerId(1), condition, ..Entry::default() };
         roster.apply(RosterForm::Full, &[Listed { entry, name: "s-1".into(), endpoint: "e".into() }]);
     }
 
-    // A process that is held up between its look at the clock and the write sent a repeat after its window.
+    // A process that was paused between reading the clock and writing sent a repeat after the end of its
+    // window.
     #[tokio::test(start_paused = true)]
-    async fn repeat_leaves_room_for_a_hold_up() {
+    async fn repeat_is_refused_if_a_pause_could_delay_it_past_its_window() {
         let roster = roster(Condition::Ready);
         let after = |ms| Some(Instant::now() + Duration::from_millis(ms));
         assert_eq!(guard(&roster, after(160)).refusal(), None);
         assert_eq!(guard(&roster, after(150)).refusal(), Some(SendRefusal::AfterWindow));
     }
 
-    // The check of what is written must not rest on the guard before it.
+    // The check at the write must not depend on the guard that is asked before it.
     #[tokio::test(start_paused = true)]
-    async fn what_is_written_against_an_invariant_is_counted() {
+    async fn write_that_violates_an_invariant_is_counted() {
         let roster = roster(Condition::Ready);
         let guard = guard(&roster, Some(Instant::now() + Duration::from_millis(500)));
         guard.check_written();
         guard.lifecycle.mark_client_left();
         guard.lifecycle.mark_answered();
-        tell(&roster, Condition::Draining);
+        set_condition(&roster, Condition::Draining);
         guard.check_written();
         let counts = || Invariant::ALL.map(|invariant| guard.invariants.count(invariant));
-        assert_eq!(counts().iter().sum::<u64>(), 0, "all within their graces");
+        assert_eq!(counts().iter().sum::<u64>(), 0, "a violation was counted within the grace periods");
         tokio::time::advance(Duration::from_millis(90)).await;
         guard.check_written();
         assert_eq!(guard.invariants.count(Invariant::NoSendAfterAnswer), 1);
