--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -1,26 +1,26 @@
-//! Counters of why things happened, for those who run the gateway, beside the figures that the platform reads.
+//! Counters with reasons and outcomes for operators, in addition to the statistics that the platform reads.
 
 use super::invariants::Invariant;
 use prometheus::{IntCounterVec, Opts, Registry, TextEncoder};
 
-/// What the names of all figures begin with.
+/// Prefix of the names of all metrics.
 pub const PREFIX: &str = "edge_balancer";
 
 /// Counters of one driver.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Violations, by invariant.
+    /// Violations of invariants, by invariant.
     pub(super) violations: IntCounterVec,
-    /// Requests that were refused or failed without an answer of a server, by reason.
+    /// Requests that the gateway refused or failed without an answer of a server, by reason.
     pub(super) given_up: IntCounterVec,
-    /// Attempts that ended, by how.
+    /// Attempts that ended, by outcome.
     pub(super) attempts: IntCounterVec,
-    /// Attempts after the first of their request, by how the one before ended.
+    /// Attempts after the first of a request, by the outcome of the previous attempt.
     pub(super) retries: IntCounterVec,
-    /// Calls that let go of what servers hold, by what became of them.
+    /// Releases of states that servers hold, by result.
     pub(super) releases: IntCounterVec,
-    /// Clients' connections that the gateway closed, by reason.
+    /// Client connections that the gateway closed, by reason.
     closed: IntCounterVec,
 }
 
@@ -33,7 +33,7 @@
             Ok::<_, prometheus::Error>(counter)
         };
         let violations = counter("invariant_violations", "Violations of an invariant.", "invariant")?;
-        // An invariant that was never violated is shown, too.
+        // Create each counter now, so that an invariant that was never violated is exported with the value 0.
         for invariant in Invariant::ALL {
             violations.with_label_values(&[invariant.name()]);
         }
@@ -48,14 +48,14 @@
         })
     }
 
-    /// Counts a client's connection that was closed.
+    /// Counts a client connection that the gateway closed.
     pub fn count_closed(&self, reason: &str) {
         self.closed.with_label_values(&[reason]).inc();
     }
 
-    /// The counters as Prometheus text.
+    /// Returns the counters in the Prometheus text format.
     pub fn text(&self) -> String {
-        // Only a name that is registered twice, or a family without values, could fail to be written.
+        // Encoding fails only for a name that is registered twice or a metric family without values.
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
