--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! meadowlug makes a request router's decisions in front of separate readers (prefill) and
-//! writers (decode) of a language model.
+//! meadowlug routes requests to the prefill servers ("readers") and decode servers ("writers") of a language
+//! model.
 //!
-//! The library does no input or output and reads no clock. A host hands events to a
-//! [`Router`] together with its own time and carries out the actions that come back.
+//! The decision module, [`Router`], performs no input or output and reads no clock. Its host passes events
+//! with the current time to the router and executes the actions that the router returns.
 //!
 //! ```
 //! use meadowlug::interface::*;
@@ -15,7 +15,7 @@
 //!     classes: vec![Class::default()],
 //!     ..Settings::default()
 //! };
-//! let mut router = Router::new(settings, 7).expect("lawful settings");
+//! let mut router = Router::new(settings, 7).expect("valid settings");
 //! let server = |id, kind| Entry { server: ServerId(id), kind, ..Entry::default() };
 //! let roster = Event::Roster { form: RosterForm::Full, entries: vec![server(1, 0), server(2, 1)] };
 //! let request = Event::Request(Arrival {
