--- a/src/config/inference.rs
+++ b/src/config/inference.rs
@@ -1,6 +1,6 @@
 //! The operator's file for the embeddings and rerank API.
 
-use super::{ConfigError, List, wrong};
+use super::{ConfigError, List, config_error};
 use crate::interface::{Class, Effect, Micros, Role, Settings};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -76,7 +76,7 @@
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct Inference {
     /// Routers that share these engines, this one included.
-    #[serde(default = "super::one")]
+    #[serde(default = "super::default_replicas")]
     pub replicas: u32,
     /// For how long the answer to a call with an idempotency key is kept for its repeats.
     #[serde(default = "keep_ms")]
@@ -92,13 +92,13 @@
 impl Inference {
     /// Decodes and checks the file.
     pub fn decode(text: &[u8]) -> Result<Self, ConfigError> {
-        let file: Self = serde_json::from_slice(text).map_err(wrong)?;
+        let file: Self = serde_json::from_slice(text).map_err(config_error)?;
         if file.pools.is_empty() {
-            return Err(wrong("pools: none"));
+            return Err(config_error("pools: none"));
         }
         let mut models = BTreeSet::new();
         for pool in &file.pools {
-            let says = |what: &str| Err(wrong(format!("pool {}: {what}", pool.model)));
+            let says = |what: &str| Err(config_error(format!("pool {}: {what}", pool.model)));
             if pool.model.is_empty() || !models.insert(&pool.model) {
                 return says("model: empty or there twice");
             }
--- a/src/config/list.rs
+++ b/src/config/list.rs
@@ -76,7 +76,7 @@
 
 impl Numbers {
     /// The number that a uid has for as long as it is listed, whatever becomes of those that it clashed with.
-    pub(super) fn of(&mut self, uid: &str) -> ServerId {
+    pub(super) fn id_for(&mut self, uid: &str) -> ServerId {
         if let Some(number) = self.by_uid.get(uid) {
             return ServerId(*number);
         }
@@ -127,7 +127,7 @@
             return None;
         };
         let entry = Entry {
-            server: numbers.of(&self.uid),
+            server: numbers.id_for(&self.uid),
             zone: place(&names.zones, &self.az).map_or(u32::MAX, |zone| zone as u32),
             cell: self.pod_group,
             kind,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The gateway's configuration: decoded, checked, and turned into what the parts need.
+//! The gateway's configuration: decodes and validates the file and converts it for the other modules.
 
 mod bounds;
 mod inference;
@@ -17,7 +17,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What is wrong with a configuration.
+/// Error of a configuration that cannot be decoded or fails validation.
 #[derive(Debug)]
 pub struct ConfigError(pub String);
 
@@ -29,13 +29,13 @@
 
 impl std::error::Error for ConfigError {}
 
-fn wrong(what: impl fmt::Display) -> ConfigError {
-    ConfigError(what.to_string())
+fn config_error(message: impl fmt::Display) -> ConfigError {
+    ConfigError(message.to_string())
 }
 
-/// The file as it is written.
+/// The configuration file as it is written.
 #[derive(Debug, Deserialize)]
-struct File {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     listen: String,
@@ -48,13 +48,13 @@
     limits: Resources,
     #[serde(default)]
     known: Option<serde_json::Value>,
-    settings: Told,
+    settings: SettingsSection,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Told {
-    #[serde(default = "one")]
+struct SettingsSection {
+    #[serde(default = "default_replicas")]
     replicas_of_me: u32,
     #[serde(default)]
     zone: u32,
@@ -79,7 +79,7 @@
     membership_mode: String,
 }
 
-fn one() -> u32 {
+fn default_replicas() -> u32 {
     1
 }
 
@@ -132,18 +132,18 @@
     #[serde(rename = "tokensByKind")]
     memory_tokens: Vec<f64>,
     #[serde(rename = "aimUsPer1000PromptTokens")]
-    aim_per_1000: Vec<f64>,
+    target_us_per_1000: Vec<f64>,
     #[serde(rename = "tokenAimMs")]
-    token_aim_ms: Vec<f64>,
+    token_interval_target_ms: Vec<f64>,
     #[serde(rename = "letGoByMs")]
-    let_go_ms: Option<f64>,
+    release_within_ms: Option<f64>,
     #[serde(rename = "readInPlace")]
     writers_read: bool,
     resume: bool,
     #[serde(rename = "reportX0")]
-    x0: String,
+    x0_meaning: String,
     #[serde(rename = "reportX1")]
-    x1: String,
+    x1_meaning: String,
 }
 
 #[derive(Debug, Default, Deserialize)]
@@ -153,7 +153,7 @@
     how: String,
 }
 
-/// Which fields of a load report hold what the module asks for.
+/// Names of the load report's fields that hold the values used by the decision module.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadNames {
     memory_share: Option<String>,
@@ -161,55 +161,58 @@
 }
 
 impl LoadNames {
-    /// Reads a report; what is missing or malformed is absent.
+    /// Parses a report; a field that is missing or malformed is absent from the result.
     pub fn read(&self, report: &[u8]) -> Load {
         let report: serde_json::Value = serde_json::from_slice(report).unwrap_or_default();
-        let field = |name: &Option<String>| {
+        let non_negative = |name: &Option<String>| {
             let value = report.get(name.as_deref()?)?.as_f64()?;
             (value >= 0.0).then_some(value)
         };
-        Load { memory_share: field(&self.memory_share), queued_kilotokens: field(&self.queued_kilotokens) }
+        Load {
+            memory_share: non_negative(&self.memory_share),
+            queued_kilotokens: non_negative(&self.queued_kilotokens),
+        }
     }
 }
 
-/// A checked configuration.
+/// A validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The gateway's name.
     pub name: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: String,
-    /// Where discovery listens.
+    /// Address of the discovery service.
     pub discovery: String,
-    /// Whether discovery is one service that all gateways ask, rather than an agent that is told.
+    /// True if discovery is one service that all gateways query, false if it is a local agent that is notified.
     pub shared_discovery: bool,
-    /// After what time without a watch there what is listed counts as told.
-    pub told_after: Duration,
-    /// Where operators connect, if they do.
+    /// Time after which the protocol counts a gateway without a discovery watch as informed of the list.
+    pub informed_after: Duration,
+    /// Address that operators connect to, if management is enabled.
     pub management: Option<String>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// What the process may hold.
+    /// Limits on the memory and file descriptors of the process.
     pub resources: Resources,
-    /// The list as it was held last.
+    /// List of engines that the gateway held before its restart.
     pub known: Option<List>,
-    /// What the module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The names that stand for places in the settings.
+    /// Names of the entries that the settings refer to by index.
     pub names: Names,
-    /// Fields of load reports.
+    /// Names of the fields in load reports.
     pub load: LoadNames,
-    /// How long a connection may take to come up.
+    /// Timeout for establishing a connection to an engine.
     pub dial_timeout: Duration,
-    /// When engines close an idle connection.
+    /// Time after which engines close an idle connection.
     pub idle_limit: Duration,
-    /// Whether clients ask for the rest of an answer that broke.
+    /// True if clients request the rest of a response whose connection broke.
     pub resume: bool,
 }
 
-/// The part of a configuration that a running program cannot change.
+/// The part of a configuration that changes only when the program is restarted.
 #[derive(Clone, Debug, PartialEq)]
-struct Fixed {
+struct RestartOnly {
     names: Names,
     roles: Vec<Role>,
     load: LoadNames,
@@ -217,20 +220,20 @@
     idle_limit: Duration,
     resume: bool,
     shared_discovery: bool,
-    told_after: Duration,
+    informed_after: Duration,
 }
 
 fn micros(ms: f64) -> Micros {
     (ms.max(0.0) * 1000.0).round() as Micros
 }
 
-fn span(ms: Option<f64>, or: Micros) -> Micros {
-    ms.map_or(or, micros)
+fn micros_or(ms: Option<f64>, default: Micros) -> Micros {
+    ms.map_or(default, micros)
 }
 
 impl Config {
-    fn fixed(&self) -> Fixed {
-        Fixed {
+    fn restart_only(&self) -> RestartOnly {
+        RestartOnly {
             names: self.names.clone(),
             roles: self.settings.roles.clone(),
             load: self.load.clone(),
@@ -238,120 +241,124 @@
             idle_limit: self.idle_limit,
             resume: self.resume,
             shared_discovery: self.shared_discovery,
-            told_after: self.told_after,
+            informed_after: self.informed_after,
         }
     }
 
-    /// Decodes and checks a configuration.
+    /// Decodes and validates a configuration file.
     pub fn decode(text: &[u8]) -> Result<Self, ConfigError> {
-        let file: File = serde_json::from_slice(text).map_err(wrong)?;
-        let told = &file.settings;
-        let settings = settings(told)?;
+        let file: ConfigFile = serde_json::from_slice(text).map_err(config_error)?;
+        let section = &file.settings;
+        let settings = decision_settings(section)?;
         let names = Names {
-            zones: told.zones.clone(),
-            kinds: told.kinds.clone(),
-            classes: told.categories.iter().map(|c| c.name.clone()).collect(),
-            tenants: told.projects.iter().map(|p| p.name.clone()).collect(),
+            zones: section.zones.clone(),
+            kinds: section.kinds.clone(),
+            classes: section.categories.iter().map(|category| category.name.clone()).collect(),
+            tenants: section.projects.iter().map(|project| project.name.clone()).collect(),
         };
         Ok(Self {
             load: LoadNames {
-                memory_share: share_field(told),
-                queued_kilotokens: field(told, "prompt tokens"),
+                memory_share: memory_share_field(section),
+                queued_kilotokens: report_field(section, "prompt tokens"),
             },
             dial_timeout: Duration::from_micros(settings.dial_timeout),
-            idle_limit: Duration::from_micros(span(told.permissions.conn_idle_ms, 15_000_000)),
-            resume: told.extra.resume,
+            idle_limit: Duration::from_micros(micros_or(section.permissions.conn_idle_ms, 15_000_000)),
+            resume: section.extra.resume,
             settings,
             names,
             seed: u64::from_str_radix(&file.seed, 16).unwrap_or(0),
             name: file.name,
             listen: file.listen,
             discovery: file.discovery,
-            shared_discovery: told.membership_mode == "ask",
-            told_after: Duration::from_micros(span(told.rules.ask_within_ms, 10_000_000)),
+            shared_discovery: section.membership_mode == "ask",
+            informed_after: Duration::from_micros(micros_or(section.rules.ask_within_ms, 10_000_000)),
             management: file.management,
             resources: file.limits,
-            known: file.known.and_then(known),
+            known: file.known.and_then(decode_known_list),
         })
     }
 }
 
-/// The list as it was held last. Without one that can be read there is discovery's: no reason not to start.
-fn known(list: serde_json::Value) -> Option<List> {
-    serde_json::from_value(list).map_err(|e| log::warn!("known list left out: {e}")).ok()
+/// Decodes the list of engines held before a restart. A malformed list does not prevent the start, because
+/// discovery supplies another one.
+fn decode_known_list(list: serde_json::Value) -> Option<List> {
+    serde_json::from_value(list).map_err(|e| log::warn!("known list ignored: {e}")).ok()
 }
 
-/// Refuses figures by which a server in slow start would have no bound, or a senseless one.
-fn check_slow_start(told: &Told) -> Result<(), ConfigError> {
-    let least = |field: &str, value: Option<f64>, least: f64| match value {
-        Some(value) if value < least => Err(wrong(format!("{field}: {value} is less than {least}"))),
+/// Rejects values that would leave the load of a server in slow start unbounded, or bounded by a meaningless limit.
+fn check_slow_start(section: &SettingsSection) -> Result<(), ConfigError> {
+    let check_min = |field: &str, value: Option<f64>, min: f64| match value {
+        Some(value) if value < min => Err(config_error(format!("{field}: {value} is less than {min}"))),
         _ => Ok(()),
     };
-    least("replicasOfMe", Some(f64::from(told.replicas_of_me)), 1.0)?;
-    least("rules.coldFrom", told.rules.cold_from, 0.0)?;
-    least("rules.warmAfterMs", told.rules.warm_after_ms, 0.0)?;
-    least("rules.overloadFactor", told.rules.overload_factor, 0.0)?;
-    least("rules.fallMs", told.rules.fall_ms, 0.0)?;
-    told.projects.iter().try_for_each(|project| least("projects.quotaPerS", Some(project.quota_per_s), 0.0))
+    check_min("replicasOfMe", Some(f64::from(section.replicas_of_me)), 1.0)?;
+    check_min("rules.coldFrom", section.rules.cold_from, 0.0)?;
+    check_min("rules.warmAfterMs", section.rules.warm_after_ms, 0.0)?;
+    check_min("rules.overloadFactor", section.rules.overload_factor, 0.0)?;
+    check_min("rules.fallMs", section.rules.fall_ms, 0.0)?;
+    section
+        .projects
+        .iter()
+        .try_for_each(|project| check_min("projects.quotaPerS", Some(project.quota_per_s), 0.0))
 }
 
-fn settings(told: &Told) -> Result<Settings, ConfigError> {
-    check_slow_start(told)?;
-    let plain = Settings::default();
-    let extra = &told.extra;
+fn decision_settings(section: &SettingsSection) -> Result<Settings, ConfigError> {
+    check_slow_start(section)?;
+    let defaults = Settings::default();
+    let extra = &section.extra;
     let role = |name: &String| match name.as_str() {
         "read" => Ok(Role::Read),
         "write" => Ok(Role::Write),
         "both" => Ok(Role::Both),
-        _ => Err(wrong(format!("extra.roleByKind: no role {name}"))),
+        _ => Err(config_error(format!("extra.roleByKind: unknown role {name}"))),
     };
     let roles = extra.roles.iter().map(role).collect::<Result<Vec<_>, _>>()?;
-    if roles.len() < told.kinds.len() {
-        return Err(wrong("extra.roleByKind: a kind without a role"));
+    if roles.len() < section.kinds.len() {
+        return Err(config_error("extra.roleByKind: fewer roles than kinds"));
     }
-    let reports_memory = told.report.how != "none" && share_field(told).is_some();
-    let each = |list: &[f64], at: usize| list.get(at).copied().unwrap_or(0.0);
-    let class = |(at, c): (usize, &Category)| {
+    let reports_memory = section.report.how != "none" && memory_share_field(section).is_some();
+    let value_or_zero = |values: &[f64], index: usize| values.get(index).copied().unwrap_or(0.0);
+    let class = |(index, category): (usize, &Category)| {
         Ok(Class {
-            aim: micros(c.objective_ms),
-            aim_per_1000: each(&extra.aim_per_1000, at).max(0.0) as Micros,
-            deadline: micros(c.hard_limit_ms),
-            token_aim: micros(each(&extra.token_aim_ms, at)),
-            effect: effect(c)?,
+            aim: micros(category.objective_ms),
+            aim_per_1000: value_or_zero(&extra.target_us_per_1000, index).max(0.0) as Micros,
+            deadline: micros(category.hard_limit_ms),
+            token_aim: micros(value_or_zero(&extra.token_interval_target_ms, index)),
+            effect: effect(category)?,
         })
     };
     Ok(Settings {
-        replicas: told.replicas_of_me,
-        zone: told.zone,
+        replicas: section.replicas_of_me,
+        zone: section.zone,
         roles,
         memory_tokens: extra.memory_tokens.clone(),
-        classes: told.categories.iter().enumerate().map(class).collect::<Result<_, _>>()?,
-        tenant_rates: told.projects.iter().map(|p| p.quota_per_s).collect(),
-        max_attempts: told.permissions.max_attempts.unwrap_or(plain.max_attempts),
-        may_cancel: told.permissions.cancelling.unwrap_or(false),
+        classes: section.categories.iter().enumerate().map(class).collect::<Result<_, _>>()?,
+        tenant_rates: section.projects.iter().map(|project| project.quota_per_s).collect(),
+        max_attempts: section.permissions.max_attempts.unwrap_or(defaults.max_attempts),
+        may_cancel: section.permissions.cancelling.unwrap_or(false),
         reports_memory,
-        may_probe: told.permissions.probes && reports_memory,
+        may_probe: section.permissions.probes && reports_memory,
         writers_read: extra.writers_read,
         ask_roster: false,
-        resolution: span(told.resolution_ms, plain.resolution),
-        let_go: span(extra.let_go_ms, plain.let_go),
-        cold_from: told.rules.cold_from.unwrap_or(plain.cold_from),
-        warm_after: span(told.rules.warm_after_ms, plain.warm_after),
-        overload_factor: told.rules.overload_factor.unwrap_or(plain.overload_factor),
-        fall_window: span(told.rules.fall_ms, plain.fall_window),
-        dial_timeout: span(told.permissions.dial_timeout_ms, plain.dial_timeout),
+        resolution: micros_or(section.resolution_ms, defaults.resolution),
+        let_go: micros_or(extra.release_within_ms, defaults.let_go),
+        cold_from: section.rules.cold_from.unwrap_or(defaults.cold_from),
+        warm_after: micros_or(section.rules.warm_after_ms, defaults.warm_after),
+        overload_factor: section.rules.overload_factor.unwrap_or(defaults.overload_factor),
+        fall_window: micros_or(section.rules.fall_ms, defaults.fall_window),
+        dial_timeout: micros_or(section.permissions.dial_timeout_ms, defaults.dial_timeout),
     })
 }
 
-/// The field of a load report that says so, by what the settings tell of it.
-fn field(told: &Told, meaning: &str) -> Option<String> {
-    let places = [("x0", &told.extra.x0), ("x1", &told.extra.x1)];
-    let found = places.into_iter().find(|(_, means)| means.replace('_', " ").contains(meaning));
-    found.map(|(name, _)| name.to_owned()).filter(|name| told.report.fields.contains(name))
+/// Name of the load report's field whose meaning, as described in the settings, contains the given words.
+fn report_field(section: &SettingsSection, wanted: &str) -> Option<String> {
+    let meanings = [("x0", &section.extra.x0_meaning), ("x1", &section.extra.x1_meaning)];
+    let found = meanings.into_iter().find(|(_, meaning)| meaning.replace('_', " ").contains(wanted));
+    found.map(|(name, _)| name.to_owned()).filter(|name| section.report.fields.contains(name))
 }
 
-fn share_field(told: &Told) -> Option<String> {
-    field(told, "share of memory")
+fn memory_share_field(section: &SettingsSection) -> Option<String> {
+    report_field(section, "share of memory")
 }
 
 fn effect(category: &Category) -> Result<Effect, ConfigError> {
@@ -359,13 +366,13 @@
         None | Some("all") => Group::All,
         Some("zone") => Group::Zone,
         Some("cell") => Group::Cell,
-        Some(other) => return Err(wrong(format!("categories.group: no group {other}"))),
+        Some(other) => return Err(config_error(format!("categories.group: unknown group {other}"))),
     };
     match category.effect.as_str() {
         "safe" => Ok(Effect::Safe),
         "unsafe" => Ok(Effect::Unsafe),
         "keyed" => Ok(Effect::Keyed { group, window: micros(category.window_ms) }),
-        other => Err(wrong(format!("categories.effect: no effect {other}"))),
+        other => Err(config_error(format!("categories.effect: unknown effect {other}"))),
     }
 }
 
@@ -382,68 +389,72 @@
         "extra":{"roleByKind":["read","write"],"tokenAimMs":[70],"reportX0":"share_of_memory_that_is_held"}}}"#;
 
     #[test]
-    fn platform_file_is_read() {
-        let config = Config::decode(FILE.as_bytes()).expect("lawful");
+    fn platform_file_is_decoded() {
+        let config = Config::decode(FILE.as_bytes()).expect("the file is valid");
         let settings = &config.settings;
         assert_eq!((settings.replicas, settings.cold_from, config.seed), (3, 0.25, 0x8c1f_30d2_7a5b_e964));
         assert_eq!((settings.classes[0].aim, settings.classes[0].token_aim), (1_500_000, 70_000));
         assert_eq!(config.load.read(br#"{"active":7,"x0":0.5}"#).memory_share, Some(0.5));
-        let change = config.known.expect("known").change(&config.names, &mut Numbers::default());
-        let crate::gateway::News::Roster { engines, .. } = change.news else { panic!("no roster") };
+        let change =
+            config.known.expect("the file has a known list").change(&config.names, &mut Numbers::default());
+        let crate::gateway::News::Roster { engines, .. } = change.news else {
+            panic!("the change is no roster")
+        };
         let entry = &engines[0].entry;
         assert_eq!((entry.zone, entry.cell, entry.kind, entry.started_at), (1, 3, 1, 2_000));
         assert_eq!(entry.condition, crate::interface::Condition::Draining);
     }
 
-    // What the gateway held last may be spoilt: that would have kept it from starting, with discovery at hand.
+    // A malformed list from before a restart used to prevent the start, although discovery was reachable.
     #[rstest]
     #[case::not_a_list("7")]
-    #[case::without_a_version(r#"{"targets":[]}"#)]
-    #[case::nothing("null")]
-    fn known_list_that_cannot_be_read_is_left_out(#[case] known: &str) {
-        let (before, rest) = FILE.split_once(r#""known":"#).expect("it has one");
-        let (_, after) = rest.split_once("]},").expect("it ends");
-        let config =
-            Config::decode(format!(r#"{before}"known":{known},{after}"#).as_bytes()).expect("lawful");
+    #[case::without_a_revision(r#"{"targets":[]}"#)]
+    #[case::null("null")]
+    fn malformed_known_list_is_ignored(#[case] known: &str) {
+        let (before, rest) = FILE.split_once(r#""known":"#).expect("the file has a known list");
+        let (_, after) = rest.split_once("]},").expect("the known list ends");
+        let config = Config::decode(format!(r#"{before}"known":{known},{after}"#).as_bytes())
+            .expect("the file is valid");
         assert!(config.known.is_none());
     }
 
-    // What the module would misread is refused at the start.
+    // A file that the decision module would misinterpret is rejected at the start.
     #[rstest]
-    #[case("unsafe", "harmless")]
-    #[case(r#""read","write""#, r#""read""#)]
-    #[case(r#""read","write""#, r#""read","think""#)]
-    #[case("categories", "classes")]
-    #[case("{", "")]
-    fn file_that_makes_no_sense_is_refused(#[case] from: &str, #[case] to: &str) {
+    #[case::unknown_effect("unsafe", "harmless")]
+    #[case::kind_without_role(r#""read","write""#, r#""read""#)]
+    #[case::unknown_role(r#""read","write""#, r#""read","think""#)]
+    #[case::no_categories("categories", "classes")]
+    #[case::not_json("{", "")]
+    fn invalid_file_is_rejected(#[case] from: &str, #[case] to: &str) {
         assert!(Config::decode(FILE.replacen(from, to, 1).as_bytes()).is_err());
     }
 
-    // By such figures a server in slow start would have no bound; the line names the field.
+    // With such values the load of a server in slow start would be unbounded. The error names the field.
     #[rstest]
-    #[case::no_process(r#""replicasOfMe":3"#, r#""replicasOfMe":0"#, "replicasOfMe")]
-    #[case::share_below_zero(r#""quotaPerS":15.0"#, r#""quotaPerS":-1"#, "projects.quotaPerS")]
-    #[case::cold_below_zero(r#""coldFrom":0.25"#, r#""coldFrom":-0.5"#, "rules.coldFrom")]
-    #[case::multiple_below_zero(r#""coldFrom":0.25"#, r#""overloadFactor":-2"#, "rules.overloadFactor")]
-    #[case::window_below_zero(r#""coldFrom":0.25"#, r#""fallMs":-1"#, "rules.fallMs")]
-    #[case::warm_up_below_zero(r#""coldFrom":0.25"#, r#""warmAfterMs":-1"#, "rules.warmAfterMs")]
-    fn senseless_rule_of_slow_start_is_refused_by_name(
+    #[case::no_replica(r#""replicasOfMe":3"#, r#""replicasOfMe":0"#, "replicasOfMe")]
+    #[case::negative_quota(r#""quotaPerS":15.0"#, r#""quotaPerS":-1"#, "projects.quotaPerS")]
+    #[case::negative_cold_capacity(r#""coldFrom":0.25"#, r#""coldFrom":-0.5"#, "rules.coldFrom")]
+    #[case::negative_overload_factor(r#""coldFrom":0.25"#, r#""overloadFactor":-2"#, "rules.overloadFactor")]
+    #[case::negative_overload_window(r#""coldFrom":0.25"#, r#""fallMs":-1"#, "rules.fallMs")]
+    #[case::negative_warm_up(r#""coldFrom":0.25"#, r#""warmAfterMs":-1"#, "rules.warmAfterMs")]
+    fn invalid_slow_start_value_is_rejected_with_its_field_name(
         #[case] from: &str,
         #[case] to: &str,
         #[case] field: &str,
     ) {
         assert!(FILE.contains(from));
-        let refused = Config::decode(FILE.replacen(from, to, 1).as_bytes()).expect_err("senseless");
-        assert!(refused.0.contains(field), "{refused}");
+        let error =
+            Config::decode(FILE.replacen(from, to, 1).as_bytes()).expect_err("the value must be rejected");
+        assert!(error.0.contains(field), "{error}");
     }
 
-    // Routers agree without a word only if an engine has one number at all of them.
+    // Routers make the same decisions without communicating only if an engine has the same id at all of them.
     #[test]
-    fn engine_has_its_number_whatever_came_before_it() {
-        let numbers = |uids: &[&str]| {
-            let mut known = Numbers::default();
-            uids.iter().map(|uid| known.of(uid)).collect::<Vec<_>>()
+    fn engine_id_does_not_depend_on_earlier_engines() {
+        let ids = |uids: &[&str]| {
+            let mut numbers = Numbers::default();
+            uids.iter().map(|uid| numbers.id_for(uid)).collect::<Vec<_>>()
         };
-        assert_eq!(numbers(&["s-1", "s-2"])[1], numbers(&["s-2"])[0]);
+        assert_eq!(ids(&["s-1", "s-2"])[1], ids(&["s-2"])[0]);
     }
 }
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,6 +1,6 @@
 //! The configuration file read again on request: its settings as revisioned changes.
 
-use super::{Config, ConfigError, Fixed, wrong};
+use super::{Config, ConfigError, RestartOnly, config_error};
 use crate::gateway::{Change, Changes, News};
 use crate::interface::Settings;
 use std::path::PathBuf;
@@ -19,7 +19,7 @@
 /// would hold otherwise.
 pub struct Reload {
     path: PathBuf,
-    fixed: Fixed,
+    restart_only: RestartOnly,
     revision: u64,
     asked: mpsc::Receiver<()>,
     discovery: watch::Sender<Arc<str>>,
@@ -30,7 +30,7 @@
     pub fn new(path: PathBuf, running: &Config, asked: mpsc::Receiver<()>) -> Self {
         Self {
             path,
-            fixed: running.fixed(),
+            restart_only: running.restart_only(),
             revision: 0,
             asked,
             discovery: watch::Sender::new(Arc::from(running.discovery.as_str())),
@@ -44,11 +44,11 @@
 
     /// Reads the file; anything but a file of a usual size could keep the whole program waiting.
     fn read(&self) -> Result<Config, ConfigError> {
-        let about = std::fs::metadata(&self.path).map_err(wrong)?;
+        let about = std::fs::metadata(&self.path).map_err(config_error)?;
         if !about.is_file() || about.len() > FILE_BYTES {
-            return Err(wrong("not a file of a usual size"));
+            return Err(config_error("not a file of a usual size"));
         }
-        Config::decode(&std::fs::read(&self.path).map_err(wrong)?)
+        Config::decode(&std::fs::read(&self.path).map_err(config_error)?)
     }
 
     async fn read_again(&self) -> Result<Config, ConfigError> {
@@ -63,16 +63,16 @@
 
     /// Takes over what may change; gives the settings if they are among it.
     fn take(&self, config: Config) -> Result<Settings, ConfigError> {
-        let fixed = config.fixed();
+        let restart_only = config.restart_only();
         let discovery = Arc::from(config.discovery);
         self.discovery.send_if_modified(|known| {
             let moves = *known != discovery;
             *known = discovery;
             moves
         });
-        if fixed != self.fixed {
+        if restart_only != self.restart_only {
             let what = "names, roles, reports, connections, membership or resumption differ";
-            return Err(wrong(format!("{what}: start the program again")));
+            return Err(config_error(format!("{what}: start the program again")));
         }
         Ok(config.settings)
     }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -187,7 +187,7 @@
         shared: config.shared_discovery,
         gateways: config.settings.replicas,
         seed: stamp,
-        told_after: config.told_after,
+        told_after: config.informed_after,
     };
     let drivers = Drivers { pool: pool.clone(), bounds, seed: config.seed, asking, ended };
     let engines = HttpEngines::new(pool.clone(), config.load.clone(), true, bounds.answer_bytes);
