--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -10,7 +10,7 @@
 pub use inference::{Api, Inference, InferencePool, MembershipMode, Repeat};
 pub use list::{List, Names, Numbers, Target, place};
 pub use reload::Reload;
-pub use shared::{Orders, Shared};
+pub use shared::{OperatorCommands, Shared};
 
 use crate::interface::{Class, Effect, Group, Load, Micros, Role, Settings};
 use serde::Deserialize;
@@ -420,11 +420,11 @@
 
     // A file that the decision module would misinterpret is rejected at the start.
     #[rstest]
-    #[case::unknown_effect("unsafe", "harmless")]
-    #[case::kind_without_role(r#""read","write""#, r#""read""#)]
-    #[case::unknown_role(r#""read","write""#, r#""read","think""#)]
-    #[case::no_categories("categories", "classes")]
-    #[case::not_json("{", "")]
+    #[case("unsafe", "harmless")]
+    #[case(r#""read","write""#, r#""read""#)]
+    #[case(r#""read","write""#, r#""read","think""#)]
+    #[case("categories", "classes")]
+    #[case("{", "")]
     fn invalid_file_is_rejected(#[case] from: &str, #[case] to: &str) {
         assert!(Config::decode(FILE.replacen(from, to, 1).as_bytes()).is_err());
     }
--- a/src/config/shared.rs
+++ b/src/config/shared.rs
@@ -1,5 +1,5 @@
-//! The folder that the processes of one gateway share while a new version takes over from an old one: what
-//! operators have ordered, and which process takes clients.
+//! Folder shared by the processes of one gateway while a new version replaces an old one. The folder holds the
+//! operator commands in force and the identifier of the process that accepts clients.
 
 use crate::gateway::{Change, Changes, News};
 use std::cell::{Cell, RefCell};
@@ -10,152 +10,155 @@
 use std::time::Duration;
 use std::{fs, io};
 
-/// How often it is looked whether the other process has written down an order.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// The names of the engines that are out by hand, as a list in JSON.
-const WITHHELD: &str = "withheld.json";
-/// The mark of the process that took clients last.
-const SERVING: &str = "serving";
+/// Interval at which the folder is polled for operator commands received by the other process.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// File with the names of the engines withheld by an operator, as a JSON list.
+const WITHHELD_FILE: &str = "withheld.json";
+/// File with the identifier of the process that most recently began to accept clients.
+const SERVING_FILE: &str = "serving";
 
-type Engines = BTreeSet<Arc<str>>;
+type EngineNames = BTreeSet<Arc<str>>;
 
-/// What the processes of one gateway share; without a folder, what this one keeps to itself.
+/// State shared by the processes of one gateway. Without a folder the state is private to this process.
 #[derive(Clone, Debug)]
 pub struct Shared {
     folder: Option<Rc<Path>>,
-    /// Tells this process from the others.
-    mark: Rc<str>,
+    /// Identifier that distinguishes this process from the other processes of the gateway.
+    process_tag: Rc<str>,
     claimed: Rc<Cell<bool>>,
-    /// Whether it is known what is written down: until then an engine that is out by hand might be used.
-    known: Rc<Cell<bool>>,
-    withheld: Rc<RefCell<Engines>>,
+    /// True once the persisted commands have been read. Before that a withheld engine could be used.
+    loaded: Rc<Cell<bool>>,
+    withheld: Rc<RefCell<EngineNames>>,
 }
 
 impl Shared {
-    /// What a gateway of that name shares in a folder below this one. A folder that cannot be read or written for a while
-    /// is no reason not to start: what is written down there is looked for until it is known.
-    pub fn new(below: Option<PathBuf>, name: &str) -> Self {
-        let plain: String = name.chars().filter(char::is_ascii_alphanumeric).collect();
-        let folder = below.map(|below| below.join(format!("meadowlug-{plain}")));
-        let mark = format!("{}-{}", std::process::id(), crate::gateway::Clock::default().now());
-        let (claimed, known, withheld) = (Rc::default(), Rc::default(), Rc::default());
-        let shared = Self { folder: folder.map(Rc::from), mark: mark.into(), claimed, known, withheld };
-        if let Err(error) = shared.look() {
-            log::warn!("orders cannot be read yet {error}");
+    /// Opens the state that the processes of the named gateway share in a folder inside `parent`. A folder that
+    /// cannot be read or written for a while does not prevent the start: the folder is polled until the persisted
+    /// commands have been read.
+    pub fn new(parent: Option<PathBuf>, name: &str) -> Self {
+        let folder_name: String = name.chars().filter(char::is_ascii_alphanumeric).collect();
+        let folder = parent.map(|parent| parent.join(format!("meadowlug-{folder_name}")));
+        let process_tag = format!("{}-{}", std::process::id(), crate::gateway::Clock::default().now());
+        let (claimed, loaded, withheld) = (Rc::default(), Rc::default(), Rc::default());
+        let shared =
+            Self { folder: folder.map(Rc::from), process_tag: process_tag.into(), claimed, loaded, withheld };
+        if let Err(error) = shared.refresh() {
+            log::warn!("operator commands cannot be read yet error={error}");
         }
         shared
     }
 
-    /// Whether what operators have ordered before is known.
-    pub fn is_known(&self) -> bool {
-        self.known.get()
+    /// Returns true if the operator commands persisted before the start have been read.
+    pub fn is_loaded(&self) -> bool {
+        self.loaded.get()
     }
 
     fn read(&self, file: &str) -> io::Result<Option<Vec<u8>>> {
         let Some(folder) = &self.folder else { return Ok(None) };
         match fs::read(folder.join(file)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
-            read => read.map(Some),
+            result => result.map(Some),
         }
     }
 
-    /// Writes a file so that whoever reads it finds it whole.
+    /// Writes a file atomically, so that a concurrent reader never sees a part of it.
     fn write(&self, file: &str, text: &[u8]) -> io::Result<()> {
         let Some(folder) = &self.folder else { return Ok(()) };
         fs::create_dir_all(folder)?;
-        let new = folder.join(format!("{file}.{}", self.mark));
-        let written = fs::write(&new, text).and_then(|()| fs::rename(&new, folder.join(file)));
-        if written.is_err() {
-            // What was written of it takes room; where even that fails it is written over the next time.
-            let _ = fs::remove_file(new);
+        let temporary = folder.join(format!("{file}.{}", self.process_tag));
+        let result = fs::write(&temporary, text).and_then(|()| fs::rename(&temporary, folder.join(file)));
+        if result.is_err() {
+            // Frees the space of the partly written file. If the removal fails, the next write replaces the file.
+            let _ = fs::remove_file(temporary);
         }
-        written
+        result
     }
 
-    /// The engines that are out by hand as it is written down, if it is.
-    fn written_down(&self) -> io::Result<Option<Engines>> {
-        let Some(text) = self.read(WITHHELD)? else { return Ok(None) };
+    /// Reads the names of the withheld engines from the folder, if they have been persisted.
+    fn persisted_engines(&self) -> io::Result<Option<EngineNames>> {
+        let Some(text) = self.read(WITHHELD_FILE)? else { return Ok(None) };
         match serde_json::from_slice::<Vec<String>>(&text) {
             Ok(names) => Ok(Some(names.into_iter().map(Arc::from).collect())),
             Err(error) => {
-                log::error!("orders written down make no sense, none of them holds {error}");
+                log::error!("persisted operator commands are malformed and ignored error={error}");
                 Ok(None)
             }
         }
     }
 
-    /// Takes over what is written down; whether that differs from what was known.
-    fn look(&self) -> io::Result<bool> {
-        let written_down = self.written_down()?;
-        self.known.set(true);
-        let Some(names) = written_down else { return Ok(false) };
+    /// Replaces the withheld engines by the persisted ones. Returns true if the two differed.
+    fn refresh(&self) -> io::Result<bool> {
+        let persisted = self.persisted_engines()?;
+        self.loaded.set(true);
+        let Some(names) = persisted else { return Ok(false) };
         let differs = *self.withheld.borrow() != names;
         self.withheld.replace(names);
         Ok(differs)
     }
 
-    /// The engines that are out by hand.
-    pub fn withheld(&self) -> Engines {
+    /// Names of the engines withheld by an operator.
+    pub fn withheld(&self) -> EngineNames {
         self.withheld.borrow().clone()
     }
 
-    /// Takes an engine out by hand, or back into use, and writes that down.
-    pub fn withhold(&self, name: &str, out: bool) -> io::Result<()> {
-        // Taken over only with what is ordered here: another process's order is told on by whoever looks for it.
-        let mut names = self.written_down()?.unwrap_or_else(|| self.withheld());
-        if out {
+    /// Withholds an engine, or puts it back into use, and persists the command.
+    pub fn withhold(&self, name: &str, withheld: bool) -> io::Result<()> {
+        // Another process's commands are adopted here only together with this one. If this write fails they stay
+        // unseen, so that the next poll still finds the difference and notifies the driver.
+        let mut names = self.persisted_engines()?.unwrap_or_else(|| self.withheld());
+        if withheld {
             names.insert(name.into());
         } else {
             names.remove(name);
         }
         let list: Vec<&str> = names.iter().map(|name| &**name).collect();
-        self.write(WITHHELD, serde_json::to_string(&list)?.as_bytes())?;
+        self.write(WITHHELD_FILE, serde_json::to_string(&list)?.as_bytes())?;
         self.withheld.replace(names);
         Ok(())
     }
 
-    /// This process takes clients from now on, also where that cannot be written down.
+    /// Records that this process accepts clients from now on, even if the record cannot be persisted.
     pub fn claim(&self) -> io::Result<()> {
-        let written = self.write(SERVING, self.mark.as_bytes());
+        let result = self.write(SERVING_FILE, self.process_tag.as_bytes());
         self.claimed.set(true);
-        written
+        result
     }
 
-    /// Whether this process has begun to take clients.
+    /// Returns true if this process has begun to accept clients.
     pub fn is_claimed(&self) -> bool {
         self.claimed.get()
     }
 
-    /// Whether another process has begun to take clients since.
+    /// Returns true if another process has begun to accept clients after this one.
     pub fn is_superseded(&self) -> bool {
-        matches!(self.read(SERVING), Ok(Some(mark)) if mark != self.mark.as_bytes())
+        matches!(self.read(SERVING_FILE), Ok(Some(process_tag)) if process_tag != self.process_tag.as_bytes())
     }
 }
 
-/// The engines that are out by hand, as the processes of the gateway order it: first as it stands.
-pub struct Orders {
+/// Source of changes to the set of withheld engines. The first change is the set at the start.
+pub struct OperatorCommands {
     shared: Shared,
     revision: u64,
 }
 
-impl Orders {
-    /// What is ordered in the folder.
+impl OperatorCommands {
+    /// Creates a source of the commands persisted in the shared folder.
     pub fn new(shared: Shared) -> Self {
         Self { shared, revision: 0 }
     }
 }
 
-impl Changes for Orders {
+impl Changes for OperatorCommands {
     async fn next(&mut self) -> Option<Change> {
         let mut changed = self.revision == 0;
         if !changed && self.shared.folder.is_none() {
-            // Without a folder there is no other process to hear of.
+            // Without a folder there is no other process whose commands could be read.
             return None;
         }
         while !changed {
-            tokio::time::sleep(LOOK_EVERY).await;
-            changed = self.shared.look().unwrap_or_else(|error| {
-                log::debug!("orders {error}");
+            tokio::time::sleep(POLL_INTERVAL).await;
+            changed = self.shared.refresh().unwrap_or_else(|error| {
+                log::debug!("operator commands cannot be read error={error}");
                 false
             });
         }
@@ -168,79 +171,83 @@
 mod tests {
     use super::*;
 
-    fn out(change: Option<Change>) -> Vec<String> {
+    fn withheld_names(change: Option<Change>) -> Vec<String> {
         match change.map(|change| change.news) {
             Some(News::Withheld(names)) => names.iter().map(ToString::to_string).collect(),
-            other => panic!("no orders: {other:?}"),
+            other => panic!("not a set of withheld engines: {other:?}"),
         }
     }
 
-    // A version that has just started sent to an engine that an operator had taken out for its restart.
+    // A version that had just started used to send requests to an engine that an operator had withheld for its
+    // restart.
     #[tokio::test(start_paused = true)]
-    async fn order_holds_in_both_processes() {
-        let folder = tempfile::tempdir().expect("a folder");
+    async fn command_applies_in_both_processes() {
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
         let process = || Shared::new(Some(folder.path().into()), "n/3");
         let old = process();
-        old.withhold("s-1", true).expect("written");
+        old.withhold("s-1", true).expect("the command is persisted");
         let new = process();
-        let (mut old_orders, mut new_orders) = (Orders::new(old.clone()), Orders::new(new.clone()));
+        let (mut old_commands, mut new_commands) =
+            (OperatorCommands::new(old.clone()), OperatorCommands::new(new.clone()));
         assert_eq!(
-            (out(old_orders.next().await), out(new_orders.next().await)),
+            (withheld_names(old_commands.next().await), withheld_names(new_commands.next().await)),
             (vec!["s-1".into()], vec!["s-1".into()])
         );
-        new.withhold("s-2", true).expect("written");
-        old.withhold("s-1", false).expect("written");
-        assert_eq!(out(new_orders.next().await), ["s-2"]);
-        new.withhold("s-2", false).expect("written");
-        assert_eq!(out(old_orders.next().await), Vec::<String>::new());
+        new.withhold("s-2", true).expect("the command is persisted");
+        old.withhold("s-1", false).expect("the command is persisted");
+        assert_eq!(withheld_names(new_commands.next().await), ["s-2"]);
+        new.withhold("s-2", false).expect("the command is persisted");
+        assert_eq!(withheld_names(old_commands.next().await), Vec::<String>::new());
     }
 
-    // An order that could not be written down took in another process's, which was never told on: the engine was used.
+    // A command that could not be persisted used to adopt another process's command without notifying the driver,
+    // so the engine that the other process had withheld was still used.
     #[tokio::test(start_paused = true)]
-    async fn order_of_another_process_holds_though_one_here_fails() {
-        let folder = tempfile::tempdir().expect("a folder");
+    async fn command_of_another_process_applies_although_a_local_command_fails() {
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
         let process = || Shared::new(Some(folder.path().into()), "n3");
         let (old, new) = (process(), process());
-        let mut orders = Orders::new(new.clone());
-        assert_eq!(out(orders.next().await), Vec::<String>::new());
-        old.withhold("s-1", true).expect("written");
-        // Nothing can be written where a folder stands.
-        let in_the_way = folder.path().join("meadowlug-n3").join(format!("{WITHHELD}.{}", new.mark));
-        fs::create_dir(&in_the_way).expect("a folder");
+        let mut commands = OperatorCommands::new(new.clone());
+        assert_eq!(withheld_names(commands.next().await), Vec::<String>::new());
+        old.withhold("s-1", true).expect("the command is persisted");
+        // A folder at the temporary file's path makes the write fail.
+        let blocking_folder =
+            folder.path().join("meadowlug-n3").join(format!("{WITHHELD_FILE}.{}", new.process_tag));
+        fs::create_dir(&blocking_folder).expect("the folder can be created");
         assert!(new.withhold("s-2", true).is_err());
-        assert_eq!(out(orders.next().await), ["s-1"]);
-        fs::remove_dir(in_the_way).expect("it is empty");
-        new.withhold("s-2", true).expect("written");
+        assert_eq!(withheld_names(commands.next().await), ["s-1"]);
+        fs::remove_dir(blocking_folder).expect("the folder is empty");
+        new.withhold("s-2", true).expect("the command is persisted");
         assert_eq!(new.withheld().len(), 2);
     }
 
-    // A folder that could not be made just then ended the program at its start.
+    // A shared folder that could not be created at once used to end the program at its start.
     #[test]
-    fn folder_that_cannot_be_used_yet_is_no_reason_not_to_start() {
-        let folder = tempfile::tempdir().expect("a folder");
-        let place = folder.path().join("meadowlug-n3");
-        fs::write(&place, "in the way").expect("a file");
+    fn gateway_starts_although_the_folder_is_not_usable_yet() {
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
+        let blocking_file = folder.path().join("meadowlug-n3");
+        fs::write(&blocking_file, "in the way").expect("the file can be written");
         let shared = Shared::new(Some(folder.path().into()), "n3");
-        assert!(!shared.is_known() && shared.withhold("s-1", true).is_err());
-        fs::remove_file(&place).expect("a file");
-        assert!(shared.look().is_ok() && shared.is_known());
-        shared.withhold("s-1", true).expect("written");
+        assert!(!shared.is_loaded() && shared.withhold("s-1", true).is_err());
+        fs::remove_file(&blocking_file).expect("the file can be removed");
+        assert!(shared.refresh().is_ok() && shared.is_loaded());
+        shared.withhold("s-1", true).expect("the command is persisted");
     }
 
-    // A process that stops must know whether another takes the clients that it turns away.
+    // A process that stops must know whether another process accepts the clients that it no longer serves.
     #[test]
-    fn process_knows_its_successor() {
-        let folder = tempfile::tempdir().expect("a folder");
+    fn process_detects_that_it_is_superseded() {
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
         let process = |name| Shared::new(Some(folder.path().into()), name);
         let (old, new, other) = (process("n3"), process("n3"), process("n4"));
         assert!(!old.is_superseded());
-        old.claim().expect("written");
-        other.claim().expect("written");
+        old.claim().expect("the claim is persisted");
+        other.claim().expect("the claim is persisted");
         assert!(!old.is_superseded());
-        new.claim().expect("written");
+        new.claim().expect("the claim is persisted");
         assert!(old.is_superseded() && !new.is_superseded());
         let alone = Shared::new(None, "n3");
-        alone.claim().expect("nothing to write");
+        alone.claim().expect("without a folder nothing is written");
         assert!(!alone.is_superseded());
     }
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -125,7 +125,7 @@
 fn claim_when_ready(chat: &Gateway<HttpEngines>, shared: &config::Shared) {
     let (chat, shared) = (chat.clone(), shared.clone());
     tokio::task::spawn_local(async move {
-        while !(shared.is_known() && chat.can_serve()) {
+        while !(shared.is_loaded() && chat.can_serve()) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         if let Err(error) = shared.claim() {
@@ -196,7 +196,7 @@
     let roster = Watch::new(address, config.names.clone(), config.known, asking);
     let chat = drivers.start("chat", config.settings, tuning(&bounds), engines, roster)?;
     let Operation { management, shared } = operation;
-    tokio::task::spawn_local(follow(config::Orders::new(shared.clone()), chat.clone()));
+    tokio::task::spawn_local(follow(config::OperatorCommands::new(shared.clone()), chat.clone()));
     if let Some(reload) = reload {
         tokio::task::spawn_local(follow(reload, chat.clone()));
     }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -34,7 +34,7 @@
 impl Fronts {
     fn ready(&self) -> Response<FrontBody> {
         // Chat alone decides: a model of the other front that is down is no reason to turn chat away.
-        if *self.phase.borrow() == Phase::Serving && self.shared.is_known() && self.platform.can_serve() {
+        if *self.phase.borrow() == Phase::Serving && self.shared.is_loaded() && self.platform.can_serve() {
             reply::json(StatusCode::OK, Bytes::from_static(b"{\"ready\":true}"))
         } else {
             reply::error(StatusCode::SERVICE_UNAVAILABLE, "not ready to serve")
