--- a/src/config/list.rs
+++ b/src/config/list.rs
@@ -1,4 +1,4 @@
-//! Discovery's list of engines, and the names in it.
+//! Discovery's list of engines, and the names that the list uses.
 
 use crate::gateway::{Change, Listed, News};
 use crate::interface::{Condition, Entry, Micros, RosterForm, ServerId};
@@ -9,30 +9,31 @@
 /// The state of an engine that is no longer listed.
 const GONE: &str = "DELETED";
 
-/// A list or a change of it, as discovery writes it.
+/// A list of engines, or a change to the list, in discovery's format.
 #[derive(Clone, Debug, Deserialize)]
 pub struct List {
-    /// The version that it leads to.
+    /// Revision of the list after this update.
     pub rev: u64,
-    /// Whether it is the whole list.
+    /// True if `targets` is the complete list, false if it holds only changed entries.
     #[serde(default)]
     pub all: bool,
-    /// The entries; one that cannot be read is left out, and takes none of the others with it.
-    #[serde(default, deserialize_with = "readable")]
+    /// Entries of the list. A malformed entry is skipped without affecting the others.
+    #[serde(default, deserialize_with = "deserialize_valid_targets")]
     pub targets: Vec<Target>,
 }
 
-fn readable<'de, D: serde::Deserializer<'de>>(targets: D) -> Result<Vec<Target>, D::Error> {
-    let all = Vec::<serde_json::Value>::deserialize(targets)?;
-    let read = |target: serde_json::Value| {
-        let left_out =
-            |e| log::warn!("list entry left out uid={} {e}", target.get("uid").unwrap_or_default());
-        Target::deserialize(&target).map_err(left_out).ok()
+fn deserialize_valid_targets<'de, D: serde::Deserializer<'de>>(targets: D) -> Result<Vec<Target>, D::Error> {
+    let entries = Vec::<serde_json::Value>::deserialize(targets)?;
+    let decode_entry = |target: serde_json::Value| {
+        let log_skipped = |e| {
+            log::warn!("malformed list entry skipped uid={} error={e}", target.get("uid").unwrap_or_default())
+        };
+        Target::deserialize(&target).map_err(log_skipped).ok()
     };
-    Ok(all.into_iter().filter_map(read).collect())
+    Ok(entries.into_iter().filter_map(decode_entry).collect())
 }
 
-/// One engine, as discovery writes it.
+/// One engine in discovery's format.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Target {
     uid: String,
@@ -48,26 +49,27 @@
     boot_ms: f64,
 }
 
-/// The names that stand for places in the settings.
+/// Names of the entries that the settings refer to by index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Kinds of engine.
+    /// Names of the engine kinds.
     pub kinds: Vec<String>,
-    /// Request classes.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
 }
 
-/// The place of a name.
-pub fn place(names: &[String], name: &str) -> Option<usize> {
+/// Index of a name in a list of names.
+pub fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
-/// Gives engines their numbers: the same for a uid at every gateway, as long as no two clash. Those that
-/// are no longer listed are not kept: new ones come for as long as the gateway runs.
+/// Assigns ids to engines. Every gateway derives the same id from a uid unless the hashes of two uids collide.
+/// The ids of engines that are no longer listed are removed, because new uids appear for as long as the gateway
+/// runs.
 #[derive(Debug, Default)]
 pub struct Numbers {
     by_uid: HashMap<String, u32>,
@@ -75,12 +77,13 @@
 }
 
 impl Numbers {
-    /// The number that a uid has for as long as it is listed, whatever becomes of those that it clashed with.
+    /// Id of a uid. The id stays the same for as long as the uid is listed, even when an engine whose hash
+    /// collided with it is removed.
     pub(super) fn id_for(&mut self, uid: &str) -> ServerId {
         if let Some(number) = self.by_uid.get(uid) {
             return ServerId(*number);
         }
-        let hash = |h: u32, byte: u8| (h ^ u32::from(byte)).wrapping_mul(0x0100_0193);
+        let hash = |state: u32, byte: u8| (state ^ u32::from(byte)).wrapping_mul(0x0100_0193);
         let mut number = uid.bytes().fold(0x811c_9dc5, hash);
         while !self.taken.insert(number) {
             number = number.wrapping_add(1);
@@ -89,19 +92,19 @@
         ServerId(number)
     }
 
-    /// Whether the engine is listed as things were told.
+    /// Returns true if the engine is in the list received so far.
     pub fn knows(&self, target: &Target) -> bool {
         self.by_uid.contains_key(&target.uid)
     }
 
-    fn keep(&mut self, which: impl Fn(&str) -> bool) {
+    fn retain(&mut self, is_listed: impl Fn(&str) -> bool) {
         let taken = &mut self.taken;
         self.by_uid.retain(|uid, number| {
-            let kept = which(uid);
-            if !kept {
+            let listed = is_listed(uid);
+            if !listed {
                 taken.remove(number);
             }
-            kept
+            listed
         });
     }
 }
@@ -111,24 +114,24 @@
         match self.state.as_str() {
             "SERVING" => Condition::Ready,
             GONE => Condition::Gone,
-            // A state that is not known wants nothing new either.
+            // An engine in an unknown state gets no new work, like a draining one.
             _ => Condition::Draining,
         }
     }
 
-    /// Whether it takes new work.
+    /// Returns true if the engine accepts new work.
     pub fn is_serving(&self) -> bool {
         self.condition() == Condition::Ready
     }
 
-    fn listed(&self, names: &Names, numbers: &mut Numbers) -> Option<Listed> {
-        let Some(kind) = place(&names.kinds, &self.model) else {
-            log::debug!("roster entry skipped uid={} unknown model={}", self.uid, self.model);
+    fn to_listed(&self, names: &Names, numbers: &mut Numbers) -> Option<Listed> {
+        let Some(kind) = index_of(&names.kinds, &self.model) else {
+            log::debug!("list entry of an unknown model skipped uid={} model={}", self.uid, self.model);
             return None;
         };
         let entry = Entry {
             server: numbers.id_for(&self.uid),
-            zone: place(&names.zones, &self.az).map_or(u32::MAX, |zone| zone as u32),
+            zone: index_of(&names.zones, &self.az).map_or(u32::MAX, |zone| zone as u32),
             cell: self.pod_group,
             kind,
             condition: self.condition(),
@@ -143,14 +146,14 @@
 }
 
 impl List {
-    /// The change that it is to the core.
+    /// Converts the list to a change for the gateway, and releases the ids of engines that are no longer listed.
     pub fn change(&self, names: &Names, numbers: &mut Numbers) -> Change {
         let news = News::Roster {
             form: if self.all { RosterForm::Full } else { RosterForm::Delta },
-            engines: self.targets.iter().filter_map(|t| t.listed(names, numbers)).collect(),
+            engines: self.targets.iter().filter_map(|t| t.to_listed(names, numbers)).collect(),
         };
-        let told: HashMap<&str, &Target> = self.targets.iter().map(|t| (t.uid.as_str(), t)).collect();
-        numbers.keep(|uid| told.get(uid).map_or(!self.all, |target| target.state != GONE));
+        let by_uid: HashMap<&str, &Target> = self.targets.iter().map(|t| (t.uid.as_str(), t)).collect();
+        numbers.retain(|uid| by_uid.get(uid).map_or(!self.all, |target| target.state != GONE));
         Change { revision: self.rev, news }
     }
 }
@@ -160,46 +163,48 @@
     use super::*;
     use rstest::rstest;
 
-    // One entry that made no sense had the whole list given up, and every drain in it unheard.
+    // One malformed entry used to discard the whole list, so that every drain announced in the list was missed.
     #[rstest]
     #[case::no_uid(r#"{"endpoint":"e:2","state":"SERVING"}"#)]
     #[case::no_endpoint(r#"{"uid":"s-2","state":"SERVING"}"#)]
     #[case::uid_is_a_number(r#"{"uid":2,"endpoint":"e:2","state":"SERVING"}"#)]
     #[case::state_is_missing(r#"{"uid":"s-2","endpoint":"e:2"}"#)]
-    #[case::group_below_zero(r#"{"uid":"s-2","endpoint":"e:2","state":"SERVING","pod_group":-1}"#)]
-    #[case::no_entry_at_all("[]")]
-    #[case::nothing("null")]
-    fn entry_that_cannot_be_read_takes_no_other_with_it(#[case] spoilt: &str) {
-        let good = r#"{"uid":"s-1","endpoint":"e:1","model":"k","state":"DRAINING"}"#;
-        let text = format!(r#"{{"rev":3,"all":true,"targets":[{spoilt},{good}]}}"#);
-        let list: List = serde_json::from_str(&text).expect("a list");
+    #[case::negative_group(r#"{"uid":"s-2","endpoint":"e:2","state":"SERVING","pod_group":-1}"#)]
+    #[case::not_an_object("[]")]
+    #[case::null("null")]
+    fn malformed_entry_does_not_discard_the_others(#[case] malformed: &str) {
+        let valid = r#"{"uid":"s-1","endpoint":"e:1","model":"k","state":"DRAINING"}"#;
+        let text = format!(r#"{{"rev":3,"all":true,"targets":[{malformed},{valid}]}}"#);
+        let list: List = serde_json::from_str(&text).expect("the list can be decoded");
         let names = Names { kinds: vec!["k".into()], ..Names::default() };
         let News::Roster { engines, .. } = list.change(&names, &mut Numbers::default()).news else {
-            panic!("no roster");
+            panic!("the change is no roster");
         };
-        let told: Vec<_> = engines.iter().map(|e| (&*e.name, e.entry.condition)).collect();
-        assert_eq!(told, [("s-1", Condition::Draining)]);
+        let conditions: Vec<_> =
+            engines.iter().map(|engine| (&*engine.name, engine.entry.condition)).collect();
+        assert_eq!(conditions, [("s-1", Condition::Draining)]);
     }
 
-    // Two servers whose uids share a hash were listed, and the first was removed. The other got the first one's number with
-    // its next change, while what was known of it stayed under its own: told to drain, it was still sent to.
+    // Two servers whose uids have the same hash were listed, and the first was removed. The second used to get the
+    // first one's id with its next change, while its state was still stored under its own id: a server that was
+    // announced as draining still got requests.
     #[test]
-    fn server_keeps_its_number_when_one_that_it_clashed_with_goes() {
-        const CLASHING: [&str; 2] = ["s-000179bb", "s-00054848"];
+    fn server_keeps_its_id_when_a_server_with_a_colliding_hash_is_removed() {
+        const COLLIDING: [&str; 2] = ["s-000179bb", "s-00054848"];
         let target = |uid: &str, state: &str| serde_json::json!({"uid": uid, "endpoint": "e", "model": "k", "state": state});
         let names = Names { kinds: vec!["k".into()], ..Names::default() };
         let mut numbers = Numbers::default();
-        let mut told = |targets: Vec<serde_json::Value>| {
+        let mut apply = |targets: Vec<serde_json::Value>| {
             let list = serde_json::json!({"rev": 1, "all": false, "targets": targets});
-            let list: List = serde_json::from_value(list).expect("a list");
+            let list: List = serde_json::from_value(list).expect("the list can be decoded");
             match list.change(&names, &mut numbers).news {
-                News::Roster { engines, .. } => engines.iter().map(|l| l.entry.server).collect::<Vec<_>>(),
-                _ => panic!("no roster"),
+                News::Roster { engines, .. } => engines.iter().map(|e| e.entry.server).collect::<Vec<_>>(),
+                _ => panic!("the change is no roster"),
             }
         };
-        let both = told(CLASHING.map(|uid| target(uid, "SERVING")).to_vec());
-        assert_ne!(both[0], both[1]);
-        told(vec![target(CLASHING[0], GONE)]);
-        assert_eq!(told(vec![target(CLASHING[1], "DRAINING")]), [both[1]]);
+        let ids = apply(COLLIDING.map(|uid| target(uid, "SERVING")).to_vec());
+        assert_ne!(ids[0], ids[1]);
+        apply(vec![target(COLLIDING[0], GONE)]);
+        assert_eq!(apply(vec![target(COLLIDING[1], "DRAINING")]), [ids[1]]);
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -8,7 +8,7 @@
 
 pub use bounds::{Bounds, Resources};
 pub use inference::{Api, Inference, InferencePool, MembershipMode, Repeat};
-pub use list::{List, Names, Numbers, Target, place};
+pub use list::{List, Names, Numbers, Target, index_of};
 pub use reload::Reload;
 pub use shared::{OperatorCommands, Shared};
 
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -2,7 +2,7 @@
 
 use super::intake::{Bodies, TOKEN_CHARS, Whole, header, request_id, span};
 use super::reply;
-use crate::config::{Names, place};
+use crate::config::{Names, index_of};
 use crate::gateway::{Fate, Gateway, Invariant, Submission, Ticket};
 use crate::interface::{Arrival, Class, Micros, RequestId};
 use crate::net::{ClosedConnection, FrontBody, HttpEngines, Job, Manner};
@@ -29,7 +29,7 @@
     }
 
     fn class(&self, headers: &HeaderMap) -> Option<usize> {
-        place(&self.names.classes, header(headers, "req-kind").ok()??)
+        index_of(&self.names.classes, header(headers, "req-kind").ok()??)
     }
 
     /// Counts a request that is refused before the core has seen it.
@@ -103,11 +103,11 @@
 fn arrival(headers: &HeaderMap, names: &Names, classes: &[Class], body: usize) -> Result<Arrival, String> {
     let required = |name: &str| header(headers, name)?.ok_or_else(|| format!("{name}: missing"));
     let id = request_id(required("req-id")?).ok_or("req-id: not an id")?;
-    let class = place(&names.classes, required("req-kind")?).ok_or("req-kind: no such class")?;
+    let class = index_of(&names.classes, required("req-kind")?).ok_or("req-kind: no such class")?;
     let tenant = match header(headers, "req-owner")? {
         None if names.tenants.is_empty() => 0,
         None => return Err("req-owner: missing".into()),
-        Some(name) => place(&names.tenants, name).ok_or("req-owner: no such tenant")?,
+        Some(name) => index_of(&names.tenants, name).ok_or("req-owner: no such tenant")?,
     };
     let expires_in = match header(headers, "req-deadline")? {
         None => classes[class].deadline,
