--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,4 +1,4 @@
-//! The configuration file read again on request: its settings as revisioned changes.
+//! Rereads the configuration file on request and emits its settings as revisioned changes.
 
 use super::{Config, ConfigError, RestartOnly, config_error};
 use crate::gateway::{Change, Changes, News};
@@ -8,71 +8,71 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long after a file that makes no sense it is read once more: it may be in the middle of being written.
-const AGAIN: [Duration; 3] =
+/// Delays before a file that cannot be decoded is read again, because it may be in the middle of being written.
+const RETRY_DELAYS: [Duration; 3] =
     [Duration::from_millis(100), Duration::from_millis(400), Duration::from_millis(1000)];
-/// Longest file that is read.
-const FILE_BYTES: u64 = 16 << 20;
+/// Maximum size of a file that is read, in bytes.
+const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// Reads a configuration file again whenever it is asked to. The discovery address always changes with it,
-/// the settings only as a whole, where none of them is of the part that needs a new start: a mixture of two files
-/// would hold otherwise.
+/// Rereads a configuration file on request. The discovery address is always updated. The settings are replaced
+/// only as a whole, and only if nothing that requires a restart has changed: otherwise a mixture of two files
+/// would be in force.
 pub struct Reload {
     path: PathBuf,
     restart_only: RestartOnly,
     revision: u64,
-    asked: mpsc::Receiver<()>,
+    reload_requests: mpsc::Receiver<()>,
     discovery: watch::Sender<Arc<str>>,
 }
 
 impl Reload {
-    /// Reads the file of a running configuration again with every message.
-    pub fn new(path: PathBuf, running: &Config, asked: mpsc::Receiver<()>) -> Self {
+    /// Creates a source of settings that rereads the file of a running configuration for every message.
+    pub fn new(path: PathBuf, running: &Config, reload_requests: mpsc::Receiver<()>) -> Self {
         Self {
             path,
             restart_only: running.restart_only(),
             revision: 0,
-            asked,
+            reload_requests,
             discovery: watch::Sender::new(Arc::from(running.discovery.as_str())),
         }
     }
 
-    /// The discovery address, as the file names it now.
+    /// Discovery address of the file that was read last.
     pub fn discovery(&self) -> watch::Receiver<Arc<str>> {
         self.discovery.subscribe()
     }
 
-    /// Reads the file; anything but a file of a usual size could keep the whole program waiting.
+    /// Reads the file. Only a regular file of limited size is read, because the read blocks the whole program.
     fn read(&self) -> Result<Config, ConfigError> {
-        let about = std::fs::metadata(&self.path).map_err(config_error)?;
-        if !about.is_file() || about.len() > FILE_BYTES {
-            return Err(config_error("not a file of a usual size"));
+        let metadata = std::fs::metadata(&self.path).map_err(config_error)?;
+        if !metadata.is_file() || metadata.len() > MAX_FILE_BYTES {
+            return Err(config_error("not a regular file, or too large"));
         }
         Config::decode(&std::fs::read(&self.path).map_err(config_error)?)
     }
 
-    async fn read_again(&self) -> Result<Config, ConfigError> {
-        for pause in AGAIN {
+    async fn read_with_retries(&self) -> Result<Config, ConfigError> {
+        for delay in RETRY_DELAYS {
             if let Ok(config) = self.read() {
                 return Ok(config);
             }
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
         }
         self.read()
     }
 
-    /// Takes over what may change; gives the settings if they are among it.
-    fn take(&self, config: Config) -> Result<Settings, ConfigError> {
+    /// Applies what may change in a running program. Returns the settings unless a change requires a restart.
+    fn apply(&self, config: Config) -> Result<Settings, ConfigError> {
         let restart_only = config.restart_only();
         let discovery = Arc::from(config.discovery);
-        self.discovery.send_if_modified(|known| {
-            let moves = *known != discovery;
-            *known = discovery;
-            moves
+        self.discovery.send_if_modified(|current| {
+            let modified = *current != discovery;
+            *current = discovery;
+            modified
         });
         if restart_only != self.restart_only {
-            let what = "names, roles, reports, connections, membership or resumption differ";
-            return Err(config_error(format!("{what}: start the program again")));
+            let changed = "names, roles, reports, connections, membership or resumption changed";
+            return Err(config_error(format!("{changed}: restart the program")));
         }
         Ok(config.settings)
     }
@@ -81,13 +81,13 @@
 impl Changes for Reload {
     async fn next(&mut self) -> Option<Change> {
         loop {
-            self.asked.recv().await?;
-            match self.read_again().await.and_then(|config| self.take(config)) {
+            self.reload_requests.recv().await?;
+            match self.read_with_retries().await.and_then(|config| self.apply(config)) {
                 Ok(settings) => {
                     self.revision += 1;
                     return Some(Change { revision: self.revision, news: News::Settings(settings) });
                 }
-                Err(error) => log::error!("reload refused, the settings before it stay: {error}"),
+                Err(error) => log::error!("reload refused, the previous settings stay: {error}"),
             }
         }
     }
@@ -101,15 +101,20 @@
     const FILE: &str = r#"{"listen":"l","discovery":"d","settings":{"replicasOfMe":3,"kinds":["k"],
         "categories":[{"name":"c","objectiveMs":1,"hardLimitMs":2,"effect":"safe"}],"extra":{"roleByKind":["both"]}}}"#;
 
-    // A slip in a file that is edited under a running gateway must change nothing.
+    // A mistake in a file that is edited while the gateway runs must leave the settings unchanged.
     #[rstest]
     #[case::replicas(":3,", ":4,", Some(4), "d")]
     #[case::discovery_moved(r#""d","#, r#""e","#, Some(3), "e")]
     #[case::class_renamed(r#""c""#, r#""f""#, None, "d")]
     #[case::role_changed("both", "read", None, "d")]
-    #[case::names_changed_and_moved(r#""d","settings":{"#, r#""e","settings":{"zones":["z"],"#, None, "e")]
+    #[case::names_changed_and_discovery_moved(
+        r#""d","settings":{"#,
+        r#""e","settings":{"zones":["z"],"#,
+        None,
+        "e"
+    )]
     #[case::resumption_changed(r#"["both"]"#, r#"["both"],"resume":true"#, None, "d")]
-    #[case::dials_changed(
+    #[case::dial_timeout_changed(
         r#""replicasOfMe":3"#,
         r#""replicasOfMe":4,"permissions":{"dialTimeoutMs":90}"#,
         None,
@@ -117,42 +122,43 @@
     )]
     #[case::half_written("}", "", None, "d")]
     #[tokio::test(start_paused = true)]
-    async fn settings_change_where_names_and_roles_stay(
+    async fn settings_change_only_if_nothing_requires_a_restart(
         #[case] from: &str,
         #[case] to: &str,
         #[case] replicas: Option<u32>,
         #[case] discovery: &str,
     ) {
-        let file = tempfile::NamedTempFile::new().expect("a file of this case's own");
-        std::fs::write(file.path(), FILE.replacen(from, to, 1)).expect("it can be written");
-        let (ask, asked) = mpsc::channel(1);
-        ask.send(()).await.expect("it listens");
-        drop(ask);
-        let running = Config::decode(FILE.as_bytes()).expect("lawful");
-        let mut reload = Reload::new(file.path().into(), &running, asked);
+        let file = tempfile::NamedTempFile::new().expect("a temporary file can be created");
+        std::fs::write(file.path(), FILE.replacen(from, to, 1)).expect("the file can be written");
+        let (request_reload, reload_requests) = mpsc::channel(1);
+        request_reload.send(()).await.expect("the reload source receives requests");
+        drop(request_reload);
+        let running = Config::decode(FILE.as_bytes()).expect("the file is valid");
+        let mut reload = Reload::new(file.path().into(), &running, reload_requests);
         let address = reload.discovery();
         let change = reload.next().await;
-        let told = change.map(|change| match change.news {
+        let applied = change.map(|change| match change.news {
             News::Settings(settings) => settings.replicas,
-            _ => panic!("no settings"),
+            _ => panic!("the change holds no settings"),
         });
-        assert_eq!((told, &**address.borrow()), (replicas, discovery));
+        assert_eq!((applied, &**address.borrow()), (replicas, discovery));
     }
 
-    // Read while it was being written, the file was given up for good and the old address kept.
+    // A file that was read while it was being written used to be rejected for good, and the old discovery address
+    // stayed in use.
     #[tokio::test(start_paused = true)]
-    async fn half_written_file_is_read_once_more() {
-        let file = tempfile::NamedTempFile::new().expect("a file of its own");
-        std::fs::write(file.path(), &FILE[..FILE.len() / 2]).expect("it can be written");
-        let (ask, asked) = mpsc::channel(1);
-        let running = Config::decode(FILE.as_bytes()).expect("lawful");
-        let mut reload = Reload::new(file.path().into(), &running, asked);
-        ask.send(()).await.expect("it listens");
-        let written = async {
+    async fn half_written_file_is_read_again() {
+        let file = tempfile::NamedTempFile::new().expect("a temporary file can be created");
+        std::fs::write(file.path(), &FILE[..FILE.len() / 2]).expect("the file can be written");
+        let (request_reload, reload_requests) = mpsc::channel(1);
+        let running = Config::decode(FILE.as_bytes()).expect("the file is valid");
+        let mut reload = Reload::new(file.path().into(), &running, reload_requests);
+        request_reload.send(()).await.expect("the reload source receives requests");
+        let finish_writing = async {
             tokio::time::sleep(Duration::from_millis(250)).await;
-            std::fs::write(file.path(), FILE).expect("it can be written");
+            std::fs::write(file.path(), FILE).expect("the file can be written");
         };
-        let (change, ()) = tokio::join!(reload.next(), written);
+        let (change, ()) = tokio::join!(reload.next(), finish_writing);
         assert!(change.is_some());
     }
 }
