--- a/src/config/inference.rs
+++ b/src/config/inference.rs
@@ -1,4 +1,4 @@
-//! The operator's file for the embeddings and rerank API.
+//! Configuration file of the embeddings and rerank API.
 
 use super::{ConfigError, List, config_error};
 use crate::interface::{Class, Effect, Micros, Role, Settings};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Which of the two calls a pool of engines answers.
+/// API call that a pool of engines answers.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Api {
@@ -17,115 +17,115 @@
     Rerank,
 }
 
-/// What repeating a call does, as the file says it.
+/// Effect of running a call more than once, as configured in the file.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Repeat {
-    /// Nothing.
+pub enum RepeatEffect {
+    /// A repeat does no harm.
     Safe,
-    /// Harm: what may have run is not sent again.
+    /// A repeat does harm: a call that may have run is not sent again.
     Unsafe,
 }
 
-/// How the list of engines comes.
+/// How the gateway learns the list of engines.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum MembershipMode {
-    /// An agent beside the gateway is told.
+    /// A local agent is notified of changes, and the gateway watches the agent.
     Push,
-    /// One service is asked by all gateways.
+    /// All gateways query one service.
     Ask,
 }
 
-/// The engines of one model, and how calls to it are handled.
+/// The engines of one model and the limits of calls to the model.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct InferencePool {
-    /// The model's name, in calls and in the list of engines.
+    /// Name of the model, in calls and in the list of engines.
     pub model: String,
-    /// Which call it answers.
+    /// API call that the pool answers.
     pub api: Api,
-    /// What repeating a call does.
-    pub effect: Repeat,
-    /// What a call should take.
+    /// Effect of running a call more than once.
+    pub effect: RepeatEffect,
+    /// Target duration of a call, in milliseconds.
     pub aim_ms: u64,
-    /// How long a call may take.
+    /// Maximum duration of a call, in milliseconds.
     pub deadline_ms: u64,
-    /// Tokens that an engine can hold; not bounded if absent.
+    /// Number of tokens that an engine can hold. Unlimited if absent.
     #[serde(default)]
     pub memory_tokens: Option<f64>,
-    /// Most inputs or documents in a call.
-    #[serde(default = "max_inputs")]
+    /// Maximum number of inputs or documents in a call.
+    #[serde(default = "default_max_inputs")]
     pub max_inputs: usize,
-    /// Where the list of engines is watched.
+    /// Address of the discovery service that lists the engines.
     pub discovery: String,
-    /// Whether that is one service that all gateways ask; as for chat if absent.
+    /// How the gateway learns the list of engines. If absent, the mode of the chat front applies.
     #[serde(default)]
     pub membership_mode: Option<MembershipMode>,
-    /// The list to begin with.
+    /// List of engines to start with, before discovery has answered.
     #[serde(default)]
     pub known: Option<List>,
 }
 
-fn max_inputs() -> usize {
+fn default_max_inputs() -> usize {
     2048
 }
 
-/// A checked file.
+/// A validated configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct Inference {
-    /// Routers that share these engines, this one included.
+    /// Number of routers that share these engines, including this one.
     #[serde(default = "super::default_replicas")]
     pub replicas: u32,
-    /// For how long the answer to a call with an idempotency key is kept for its repeats.
-    #[serde(default = "keep_ms")]
+    /// Time for which the answer to a call with an idempotency key is kept for repeats, in milliseconds.
+    #[serde(default = "default_keep_answers_ms")]
     pub keep_answers_ms: u64,
     /// One pool for each model.
     pub pools: Vec<InferencePool>,
 }
 
-fn keep_ms() -> u64 {
+fn default_keep_answers_ms() -> u64 {
     60_000
 }
 
 impl Inference {
-    /// Decodes and checks the file.
+    /// Decodes and validates the file.
     pub fn decode(text: &[u8]) -> Result<Self, ConfigError> {
         let file: Self = serde_json::from_slice(text).map_err(config_error)?;
         if file.pools.is_empty() {
-            return Err(config_error("pools: none"));
+            return Err(config_error("pools: empty"));
         }
         let mut models = BTreeSet::new();
         for pool in &file.pools {
-            let says = |what: &str| Err(config_error(format!("pool {}: {what}", pool.model)));
+            let invalid = |message: &str| Err(config_error(format!("pool {}: {message}", pool.model)));
             if pool.model.is_empty() || !models.insert(&pool.model) {
-                return says("model: empty or there twice");
+                return invalid("model: empty or used by two pools");
             }
             if pool.deadline_ms == 0 || pool.aim_ms == 0 || pool.aim_ms > pool.deadline_ms {
-                return says("aimMs must lie above 0 and not above deadlineMs");
+                return invalid("aimMs must be above 0 and at most deadlineMs");
             }
             if pool.max_inputs == 0 {
-                return says("maxInputs: none allowed");
+                return invalid("maxInputs must be above 0");
             }
             if pool.discovery.parse::<SocketAddr>().is_err() {
-                return says("discovery: not an address and port");
+                return invalid("discovery: not an IP address and port");
             }
         }
         Ok(file)
     }
 
-    /// How long answers are kept for repeats.
+    /// Time for which answers are kept for repeats.
     pub fn keep_answers(&self) -> Duration {
         Duration::from_millis(self.keep_answers_ms)
     }
 
-    /// What the decision module is told of a pool: one kind of server, which does all by itself.
+    /// Decision module settings of a pool, which has one kind of server with the role `Both`.
     pub fn settings(&self, pool: &InferencePool) -> Settings {
         let micros = |ms: u64| -> Micros { ms * 1000 };
         let effect = match pool.effect {
-            Repeat::Safe => Effect::Safe,
-            Repeat::Unsafe => Effect::Unsafe,
+            RepeatEffect::Safe => Effect::Safe,
+            RepeatEffect::Unsafe => Effect::Unsafe,
         };
         Settings {
             replicas: self.replicas,
@@ -150,27 +150,27 @@
     const POOL: &str =
         r#"{"model":"m","api":"rerank","effect":"safe","aimMs":5,"deadlineMs":9,"discovery":"127.0.0.1:1"}"#;
 
-    // An operator's slip must stop the start, not surface as odd answers later.
+    // A mistake in the file must prevent the start instead of causing wrong answers later.
     #[rstest]
-    #[case::good("", "", "")]
-    #[case::aim_past_deadline(r#""aimMs":5"#, r#""aimMs":10"#, "aimMs")]
-    #[case::no_such_api("rerank", "summarise", "unknown variant")]
-    #[case::no_such_effect("safe", "maybe", "unknown variant")]
-    #[case::misspelt_key("aimMs", "aimms", "unknown field")]
-    #[case::no_such_mode(r#""aimMs""#, r#""membershipMode":"guess","aimMs""#, "unknown variant")]
-    #[case::mode_of_its_own(r#""aimMs""#, r#""membershipMode":"push","aimMs""#, "")]
-    #[case::no_address("127.0.0.1:1", "engines", "discovery")]
-    #[case::no_model(r#""m""#, r#""""#, "model")]
-    fn file_is_checked(#[case] from: &str, #[case] to: &str, #[case] complaint: &str) {
+    #[case::valid("", "", "")]
+    #[case::target_above_deadline(r#""aimMs":5"#, r#""aimMs":10"#, "aimMs")]
+    #[case::unknown_api("rerank", "summarise", "unknown variant")]
+    #[case::unknown_effect("safe", "maybe", "unknown variant")]
+    #[case::misspelt_field("aimMs", "aimms", "unknown field")]
+    #[case::unknown_membership_mode(r#""aimMs""#, r#""membershipMode":"guess","aimMs""#, "unknown variant")]
+    #[case::membership_mode_of_the_pool(r#""aimMs""#, r#""membershipMode":"push","aimMs""#, "")]
+    #[case::invalid_discovery_address("127.0.0.1:1", "engines", "discovery")]
+    #[case::empty_model(r#""m""#, r#""""#, "model")]
+    fn file_is_validated(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
         let text = format!(r#"{{"pools":[{}]}}"#, POOL.replacen(from, to, 1));
         match Inference::decode(text.as_bytes()) {
-            Ok(_) => assert_eq!(complaint, ""),
-            Err(error) => assert!(!complaint.is_empty() && error.to_string().contains(complaint), "{error}"),
+            Ok(_) => assert_eq!(expected, ""),
+            Err(error) => assert!(!expected.is_empty() && error.to_string().contains(expected), "{error}"),
         }
     }
 
     #[test]
-    fn a_model_has_one_pool() {
+    fn two_pools_of_one_model_are_rejected() {
         let text = format!(r#"{{"pools":[{POOL},{POOL}]}}"#);
         assert!(Inference::decode(text.as_bytes()).is_err());
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -7,7 +7,7 @@
 mod shared;
 
 pub use bounds::{Bounds, Resources};
-pub use inference::{Api, Inference, InferencePool, MembershipMode, Repeat};
+pub use inference::{Api, Inference, InferencePool, MembershipMode, RepeatEffect};
 pub use list::{List, Names, Numbers, Target, index_of};
 pub use reload::Reload;
 pub use shared::{OperatorCommands, Shared};
