--- a/src/config/bounds.rs
+++ b/src/config/bounds.rs
@@ -1,26 +1,26 @@
-//! What the process may hold, turned into the bounds of its parts: all of them are set here.
+//! Divides the resource limits of the process into limits for its parts. All resource limits are set here.
 
 use serde::Deserialize;
 
-/// Connections of operators, and those above that which are turned away.
-const MANAGEMENT: (usize, usize) = (16, 8);
-/// Descriptors that are neither clients' nor engines': the runtime's, the listeners, discovery's, files,
-/// operators'.
-const OWN_SOCKETS: usize = 24 + MANAGEMENT.0 + MANAGEMENT.1;
-/// Megabytes that the program takes with nothing open.
-const OWN_MB: u64 = 12;
-/// Most bytes of a body, and of a request's share of what is kept in buffers.
-const BODY_BYTES: usize = 256 << 10;
-/// Bytes that are kept in buffers for one connection, at least and at most.
-const BUFFER: (usize, usize) = (8 << 10, 64 << 10);
+/// Maximum number of operator connections that are served, and of further ones that get an error response.
+const MANAGEMENT_CONNECTIONS: (usize, usize) = (16, 8);
+/// Number of file descriptors that serve neither clients nor engines: those of the runtime, the listeners,
+/// discovery, files and operators.
+const RESERVED_SOCKETS: usize = 24 + MANAGEMENT_CONNECTIONS.0 + MANAGEMENT_CONNECTIONS.1;
+/// Memory that the program uses without open connections or requests, in megabytes.
+const BASE_MEMORY_MB: u64 = 12;
+/// Maximum size of a request body, and of the bytes buffered for one request.
+const MAX_BODY_BYTES: usize = 256 << 10;
+/// Minimum and maximum number of bytes buffered for one connection.
+const BUFFER_BYTES_RANGE: (usize, usize) = (8 << 10, 64 << 10);
 
-/// What the process may hold.
+/// Limits on the resources of the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Resources {
-    /// Memory, in megabytes.
+    /// Maximum memory, in megabytes.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
 }
 
@@ -30,52 +30,53 @@
     }
 }
 
-/// Bounds of the parts, which together stay within what the process may hold.
+/// Limits of the parts, which together stay within the limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Connections of clients that are served. Usual clients need up to a third of the descriptors.
+    /// Maximum number of client connections that are served. Typical clients need up to a third of the descriptors.
     pub client_connections: usize,
-    /// Connections of clients above that which are told to come back.
-    pub client_spare: usize,
-    /// Connections of operators, and above that.
-    pub management: (usize, usize),
-    /// Connections to engines; an open request takes one.
+    /// Maximum number of further client connections, which are asked to retry later.
+    pub excess_client_connections: usize,
+    /// Maximum number of operator connections that are served, and of further ones that get an error response.
+    pub management_connections: (usize, usize),
+    /// Maximum number of connections to engines. An open request uses one.
     pub engine_connections: usize,
-    /// Bytes that may be buffered for one connection, a head among them.
-    pub buffer: usize,
-    /// Bytes that are read on clients' connections ahead of the parser.
-    pub ahead_bytes: usize,
-    /// Requests open at a time, in one driver.
+    /// Maximum number of bytes buffered for one connection, including a message head.
+    pub connection_buffer_bytes: usize,
+    /// Maximum number of bytes read ahead of the parser, over all client connections.
+    pub read_ahead_bytes: usize,
+    /// Maximum number of open requests in one driver.
     pub requests: usize,
-    /// Bytes of the bodies that are being read.
-    pub reading_bytes: usize,
-    /// Bytes of the bodies of open chat requests.
-    pub open_bytes: usize,
-    /// Bytes of the bodies of all open calls of the second front, and of the answers kept for repeats.
-    pub model_bytes: usize,
-    /// Most bytes of an engine's answer that is read whole.
-    pub answer_bytes: usize,
+    /// Maximum number of bytes in all request bodies that are being read.
+    pub body_read_bytes: usize,
+    /// Maximum number of bytes in the bodies of all open chat requests.
+    pub open_chat_bytes: usize,
+    /// Maximum number of bytes in the bodies of all open embeddings and rerank calls and in the answers kept for
+    /// repeats.
+    pub inference_bytes: usize,
+    /// Maximum size of an engine's answer that is buffered completely, in bytes.
+    pub max_answer_bytes: usize,
 }
 
 impl From<Resources> for Bounds {
-    fn from(held: Resources) -> Self {
-        let sockets = held.sockets.max(64) - OWN_SOCKETS;
-        let bytes = (held.memory_mb.saturating_sub(OWN_MB).max(8) as usize) << 20;
+    fn from(resources: Resources) -> Self {
+        let sockets = resources.sockets.max(64) - RESERVED_SOCKETS;
+        let bytes = (resources.memory_mb.saturating_sub(BASE_MEMORY_MB).max(8) as usize) << 20;
         let client_connections = sockets * 54 / 100;
-        let client_spare = sockets * 4 / 100;
-        let engine_connections = sockets - client_connections - client_spare;
+        let excess_client_connections = sockets * 4 / 100;
+        let engine_connections = sockets - client_connections - excess_client_connections;
         Self {
             client_connections,
-            client_spare,
-            management: MANAGEMENT,
+            excess_client_connections,
+            management_connections: MANAGEMENT_CONNECTIONS,
             engine_connections,
-            buffer: (bytes / 4 / sockets).clamp(BUFFER.0, BUFFER.1),
-            ahead_bytes: bytes / 64,
+            connection_buffer_bytes: (bytes / 4 / sockets).clamp(BUFFER_BYTES_RANGE.0, BUFFER_BYTES_RANGE.1),
+            read_ahead_bytes: bytes / 64,
             requests: client_connections,
-            reading_bytes: (bytes / 6).max(BODY_BYTES),
-            open_bytes: (bytes / 4).max(BODY_BYTES),
-            model_bytes: (bytes / 10).max(BODY_BYTES),
-            answer_bytes: (bytes / 16).min(4 << 20),
+            body_read_bytes: (bytes / 6).max(MAX_BODY_BYTES),
+            open_chat_bytes: (bytes / 4).max(MAX_BODY_BYTES),
+            inference_bytes: (bytes / 10).max(MAX_BODY_BYTES),
+            max_answer_bytes: (bytes / 16).min(4 << 20),
         }
     }
 }
@@ -85,19 +86,36 @@
     use super::*;
     use rstest::rstest;
 
-    // Bounds that were constants let a small machine be killed for what a large one can hold.
+    // With constant limits the process was killed on a small machine for memory that a large machine can provide.
     #[rstest]
     #[case::smallest(32, 256)]
     #[case::little_memory(32, 1024)]
     #[case::few_sockets(192, 256)]
     #[case::largest(192, 1024)]
-    fn parts_stay_within_the_whole(#[case] memory_mb: u64, #[case] sockets: usize) {
-        let b = Bounds::from(Resources { memory_mb, sockets });
-        assert!(b.client_connections + b.client_spare + b.engine_connections + OWN_SOCKETS <= sockets);
-        assert!(b.client_connections > sockets / 3 && b.engine_connections > sockets / 3);
-        let bytes = b.reading_bytes + b.open_bytes + b.model_bytes + b.answer_bytes + b.ahead_bytes;
-        let buffers = b.buffer * (b.client_connections + b.client_spare + b.engine_connections);
-        assert!(bytes + buffers <= ((memory_mb - OWN_MB) as usize) << 20);
-        assert!(b.reading_bytes >= 4 * BODY_BYTES, "a few of the longest bodies at a time");
+    fn limits_of_the_parts_stay_within_the_limits_of_the_process(
+        #[case] memory_mb: u64,
+        #[case] sockets: usize,
+    ) {
+        let bounds = Bounds::from(Resources { memory_mb, sockets });
+        assert!(
+            bounds.client_connections
+                + bounds.excess_client_connections
+                + bounds.engine_connections
+                + RESERVED_SOCKETS
+                <= sockets
+        );
+        assert!(bounds.client_connections > sockets / 3 && bounds.engine_connections > sockets / 3);
+        let bytes = bounds.body_read_bytes
+            + bounds.open_chat_bytes
+            + bounds.inference_bytes
+            + bounds.max_answer_bytes
+            + bounds.read_ahead_bytes;
+        let buffers = bounds.connection_buffer_bytes
+            * (bounds.client_connections + bounds.excess_client_connections + bounds.engine_connections);
+        assert!(bytes + buffers <= ((memory_mb - BASE_MEMORY_MB) as usize) << 20);
+        assert!(
+            bounds.body_read_bytes >= 4 * MAX_BODY_BYTES,
+            "at least four of the largest bodies can be read at a time"
+        );
     }
 }
--- a/src/config/list.rs
+++ b/src/config/list.rs
@@ -25,9 +25,8 @@
 fn deserialize_valid_targets<'de, D: serde::Deserializer<'de>>(targets: D) -> Result<Vec<Target>, D::Error> {
     let entries = Vec::<serde_json::Value>::deserialize(targets)?;
     let decode_entry = |target: serde_json::Value| {
-        let log_skipped = |e| {
-            log::warn!("malformed list entry skipped uid={} error={e}", target.get("uid").unwrap_or_default())
-        };
+        let log_skipped =
+            |e| log::warn!("list entry skipped uid={} error={e}", target.get("uid").unwrap_or_default());
         Target::deserialize(&target).map_err(log_skipped).ok()
     };
     Ok(entries.into_iter().filter_map(decode_entry).collect())
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -56,7 +56,7 @@
 fn tuning(bounds: &Bounds) -> Tuning {
     let mut tuning = Tuning::default();
     tuning.limits.requests = bounds.requests;
-    tuning.limits.bytes = bounds.open_bytes;
+    tuning.limits.bytes = bounds.open_chat_bytes;
     tuning
 }
 
@@ -99,9 +99,9 @@
         for pool in &file.pools {
             let mut tuning = tuning(&self.bounds);
             tuning.limits.keep = file.keep_answers();
-            tuning.limits.bytes = self.bounds.model_bytes / 2 / file.pools.len();
+            tuning.limits.bytes = self.bounds.inference_bytes / 2 / file.pools.len();
             tuning.limits.keep_bytes = tuning.limits.bytes;
-            let most = self.bounds.answer_bytes;
+            let most = self.bounds.max_answer_bytes;
             let engines = HttpEngines::new(self.pool.clone(), config::LoadNames::default(), false, most);
             let names = config::Names { kinds: vec![pool.model.clone()], ..config::Names::default() };
             let mode = pool.membership_mode.map(|mode| mode == config::MembershipMode::Ask);
@@ -176,7 +176,7 @@
     let pool = Pool::new(PoolLimits {
         connections: bounds.engine_connections,
         reserved: (bounds.engine_connections / RESERVED_PART).max(1),
-        buffer: bounds.buffer,
+        buffer: bounds.connection_buffer_bytes,
         dial_timeout: config.dial_timeout,
         idle: config.idle_limit / 2,
     });
@@ -190,7 +190,7 @@
         told_after: config.informed_after,
     };
     let drivers = Drivers { pool: pool.clone(), bounds, seed: config.seed, asking, ended };
-    let engines = HttpEngines::new(pool.clone(), config.load.clone(), true, bounds.answer_bytes);
+    let engines = HttpEngines::new(pool.clone(), config.load.clone(), true, bounds.max_answer_bytes);
     let tries = engines.tries();
     let address = reload.as_ref().map_or_else(|| fixed(&config.discovery), config::Reload::discovery);
     let roster = Watch::new(address, config.names.clone(), config.known, asking);
@@ -218,9 +218,9 @@
             shared: shared.clone(),
             phase: phase.clone(),
         };
-        serve_operators(listener, front, bounds.management);
+        serve_operators(listener, front, bounds.management_connections);
     }
-    let bodies = Rc::new(Bodies::new(bounds.reading_bytes, phases.clone()));
+    let bodies = Rc::new(Bodies::new(bounds.body_read_bytes, phases.clone()));
     let fronts = Fronts {
         platform: Platform::new(chat.clone(), config.names, bodies.clone()),
         inference: models.map(|models| Inference::new(models, bodies, stamp)),
@@ -230,9 +230,9 @@
     log::info!("serving name={} listen={}", config.name, listener.local_addr()?);
     let limits = ServeLimits {
         connections: bounds.client_connections,
-        spare: bounds.client_spare,
-        buffer: bounds.buffer,
-        ahead: bounds.ahead_bytes,
+        spare: bounds.excess_client_connections,
+        buffer: bounds.connection_buffer_bytes,
+        ahead: bounds.read_ahead_bytes,
         stall: CLIENT_STALL,
         head: CLIENT_HEAD,
         idle: CLIENT_IDLE,
