--- a/src/config/bounds.rs
+++ b/src/config/bounds.rs
@@ -33,11 +33,12 @@
 /// Limits of the parts, which together stay within the limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Maximum number of client connections that are served. Typical clients need up to a third of the descriptors.
+    /// Maximum number of client connections that are served. Typical clients need up to a third of the
+    /// descriptors.
     pub client_connections: usize,
     /// Maximum number of further client connections, which are asked to retry later.
     pub excess_client_connections: usize,
-    /// Maximum number of operator connections that are served, and of further ones that get an error response.
+    /// Maximum number of operator connections, and of further ones that get an error response.
     pub management_connections: (usize, usize),
     /// Maximum number of connections to engines. An open request uses one.
     pub engine_connections: usize,
@@ -51,8 +52,8 @@
     pub body_read_bytes: usize,
     /// Maximum number of bytes in the bodies of all open chat requests.
     pub open_chat_bytes: usize,
-    /// Maximum number of bytes in the bodies of all open embeddings and rerank calls and in the answers kept for
-    /// repeats.
+    /// Maximum number of bytes in the bodies of all open embeddings and rerank calls and in the answers kept
+    /// for repeats.
     pub inference_bytes: usize,
     /// Maximum size of an engine's answer that is buffered completely, in bytes.
     pub max_answer_bytes: usize,
@@ -86,7 +87,7 @@
     use super::*;
     use rstest::rstest;
 
-    // With constant limits the process was killed on a small machine for memory that a large machine can provide.
+    // Constant limits suited to a large machine let the process exceed a small machine's memory and be killed.
     #[rstest]
     #[case::smallest(32, 256)]
     #[case::little_memory(32, 1024)]
--- a/src/config/list.rs
+++ b/src/config/list.rs
@@ -66,9 +66,9 @@
     names.iter().position(|known| known == name)
 }
 
-/// Assigns ids to engines. Every gateway derives the same id from a uid unless the hashes of two uids collide.
-/// The ids of engines that are no longer listed are removed, because new uids appear for as long as the gateway
-/// runs.
+/// Assigns ids to engines. Every gateway derives the same id from a uid unless the hashes of two uids
+/// collide. The ids of engines that are no longer listed are removed, because new uids appear for as long as
+/// the gateway runs.
 #[derive(Debug, Default)]
 pub struct Numbers {
     by_uid: HashMap<String, u32>,
@@ -145,7 +145,7 @@
 }
 
 impl List {
-    /// Converts the list to a change for the gateway, and releases the ids of engines that are no longer listed.
+    /// Converts the list to a change for the gateway and frees the ids of engines that are no longer listed.
     pub fn change(&self, names: &Names, numbers: &mut Numbers) -> Change {
         let news = News::Roster {
             form: if self.all { RosterForm::Full } else { RosterForm::Delta },
@@ -162,7 +162,7 @@
     use super::*;
     use rstest::rstest;
 
-    // One malformed entry used to discard the whole list, so that every drain announced in the list was missed.
+    // One malformed entry used to discard the whole list, so that the gateway missed every drain in the list.
     #[rstest]
     #[case::no_uid(r#"{"endpoint":"e:2","state":"SERVING"}"#)]
     #[case::no_endpoint(r#"{"uid":"s-2","state":"SERVING"}"#)]
@@ -184,9 +184,9 @@
         assert_eq!(conditions, [("s-1", Condition::Draining)]);
     }
 
-    // Two servers whose uids have the same hash were listed, and the first was removed. The second used to get the
-    // first one's id with its next change, while its state was still stored under its own id: a server that was
-    // announced as draining still got requests.
+    // Two servers whose uids have the same hash were listed, and the first was removed. The second used to
+    // get the first one's id with its next change, while its state was still stored under its own id: a
+    // server that was announced as draining still got requests.
     #[test]
     fn server_keeps_its_id_when_a_server_with_a_colliding_hash_is_removed() {
         const COLLIDING: [&str; 2] = ["s-000179bb", "s-00054848"];
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -184,7 +184,7 @@
     pub listen: String,
     /// Address of the discovery service.
     pub discovery: String,
-    /// True if discovery is one service that all gateways query, false if it is a local agent that is notified.
+    /// True if discovery is one service that all gateways query, false if each gateway has a local agent.
     pub shared_discovery: bool,
     /// Time after which the protocol counts a gateway without a discovery watch as informed of the list.
     pub informed_after: Duration,
@@ -285,7 +285,7 @@
     serde_json::from_value(list).map_err(|e| log::warn!("known list ignored: {e}")).ok()
 }
 
-/// Rejects values that would leave the load of a server in slow start unbounded, or bounded by a meaningless limit.
+/// Rejects values that would leave the load of a server in slow start without a limit or with a wrong one.
 fn check_slow_start(section: &SettingsSection) -> Result<(), ConfigError> {
     let check_min = |field: &str, value: Option<f64>, min: f64| match value {
         Some(value) if value < min => Err(config_error(format!("{field}: {value} is less than {min}"))),
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Delays before a file that cannot be decoded is read again, because it may be in the middle of being written.
+/// Delays before a file that cannot be decoded is read again, because another process may be writing it.
 const RETRY_DELAYS: [Duration; 3] =
     [Duration::from_millis(100), Duration::from_millis(400), Duration::from_millis(1000)];
 /// Maximum size of a file that is read, in bytes.
 const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// Rereads a configuration file on request. The discovery address is always updated. The settings are replaced
-/// only as a whole, and only if nothing that requires a restart has changed: otherwise a mixture of two files
-/// would be in force.
+/// Rereads a configuration file on request. The discovery address is always updated. The settings are
+/// replaced only as a whole, and only if nothing that requires a restart has changed: otherwise a mixture of
+/// two files would be in force.
 pub struct Reload {
     path: PathBuf,
     restart_only: RestartOnly,
@@ -42,7 +42,7 @@
         self.discovery.subscribe()
     }
 
-    /// Reads the file. Only a regular file of limited size is read, because the read blocks the whole program.
+    /// Reads the file. Only a regular file of limited size is read, because reading blocks the whole program.
     fn read(&self) -> Result<Config, ConfigError> {
         let metadata = std::fs::metadata(&self.path).map_err(config_error)?;
         if !metadata.is_file() || metadata.len() > MAX_FILE_BYTES {
@@ -144,8 +144,8 @@
         assert_eq!((applied, &**address.borrow()), (replicas, discovery));
     }
 
-    // A file that was read while it was being written used to be rejected for good, and the old discovery address
-    // stayed in use.
+    // A file that was read while it was being written used to be rejected for good, and the old discovery
+    // address stayed in use.
     #[tokio::test(start_paused = true)]
     async fn half_written_file_is_read_again() {
         let file = tempfile::NamedTempFile::new().expect("a temporary file can be created");
--- a/src/config/shared.rs
+++ b/src/config/shared.rs
@@ -1,5 +1,5 @@
-//! Folder shared by the processes of one gateway while a new version replaces an old one. The folder holds the
-//! operator commands in force and the identifier of the process that accepts clients.
+//! Folder shared by the processes of one gateway while a new version replaces an old one. The folder holds
+//! the operator commands in force and the identifier of the process that accepts clients.
 
 use crate::gateway::{Change, Changes, News};
 use std::cell::{Cell, RefCell};
@@ -32,9 +32,9 @@
 }
 
 impl Shared {
-    /// Opens the state that the processes of the named gateway share in a folder inside `parent`. A folder that
-    /// cannot be read or written for a while does not prevent the start: the folder is polled until the persisted
-    /// commands have been read.
+    /// Opens the state that the processes of the named gateway share in a folder inside `parent`. A folder
+    /// that cannot be read or written for a while does not prevent the start: the folder is polled until the
+    /// persisted commands have been read.
     pub fn new(parent: Option<PathBuf>, name: &str) -> Self {
         let folder_name: String = name.chars().filter(char::is_ascii_alphanumeric).collect();
         let folder = parent.map(|parent| parent.join(format!("meadowlug-{folder_name}")));
@@ -68,7 +68,7 @@
         let temporary = folder.join(format!("{file}.{}", self.process_tag));
         let result = fs::write(&temporary, text).and_then(|()| fs::rename(&temporary, folder.join(file)));
         if result.is_err() {
-            // Frees the space of the partly written file. If the removal fails, the next write replaces the file.
+            // Frees the space of the partly written file. If removal fails, the next write replaces the file.
             let _ = fs::remove_file(temporary);
         }
         result
@@ -103,8 +103,8 @@
 
     /// Withholds an engine, or puts it back into use, and persists the command.
     pub fn withhold(&self, name: &str, withheld: bool) -> io::Result<()> {
-        // Another process's commands are adopted here only together with this one. If this write fails they stay
-        // unseen, so that the next poll still finds the difference and notifies the driver.
+        // Another process's commands are adopted here only together with this one. If this write fails they
+        // stay unseen, so that the next poll still finds the difference and notifies the driver.
         let mut names = self.persisted_engines()?.unwrap_or_else(|| self.withheld());
         if withheld {
             names.insert(name.into());
@@ -178,8 +178,8 @@
         }
     }
 
-    // A version that had just started used to send requests to an engine that an operator had withheld for its
-    // restart.
+    // A gateway version that had just started used to send requests to an engine that an operator had
+    // withheld because the engine was about to restart.
     #[tokio::test(start_paused = true)]
     async fn command_applies_in_both_processes() {
         let folder = tempfile::tempdir().expect("a temporary folder can be created");
@@ -200,8 +200,8 @@
         assert_eq!(withheld_names(old_commands.next().await), Vec::<String>::new());
     }
 
-    // A command that could not be persisted used to adopt another process's command without notifying the driver,
-    // so the engine that the other process had withheld was still used.
+    // A command that could not be persisted used to adopt another process's command without notifying the
+    // driver, so the engine that the other process had withheld was still used.
     #[tokio::test(start_paused = true)]
     async fn command_of_another_process_applies_although_a_local_command_fails() {
         let folder = tempfile::tempdir().expect("a temporary folder can be created");
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together and serves until it is stopped.
+//! Connects the parts of the gateway and serves requests until the process is asked to stop.
 
 mod stop;
 
@@ -17,28 +17,31 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// How often it is looked, after the last answer, whether all that servers hold was let go; and how long that may begin
-/// to be let go after it.
-const LAST_LOOK_EVERY: Duration = Duration::from_millis(5);
-const LAST_RELEASES: Duration = Duration::from_millis(50);
-/// How long a call of an operator may stand still, and how long it may take.
-const CALL_STALL: Duration = Duration::from_millis(800);
-const CALL: Duration = Duration::from_secs(2);
-/// Most bytes of one that are kept.
-const CALL_BYTES: usize = 8 << 10;
-/// Which part of the connections to engines is kept for calls that let states go.
-const RESERVED_PART: usize = 16;
-/// How often idle connections are looked at.
-const RETIRE_EVERY: Duration = Duration::from_secs(1);
-/// How long a client's connection may stand still in a request, or before its first; and idle between two,
-/// in any case and at most.
-const CLIENT_STALL: Duration = Duration::from_secs(2);
-const CLIENT_HEAD: Duration = Duration::from_secs(8);
-const CLIENT_IDLE_LEAST: Duration = Duration::from_secs(2);
-const CLIENT_IDLE: Duration = Duration::from_secs(10);
+/// Interval at which a stopping process checks, after the last answer, whether all states have been released.
+const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time after the last answer within which the release of its state may still begin.
+const RELEASE_START_DELAY: Duration = Duration::from_millis(50);
+/// Maximum time without progress on an operator's connection.
+const OPERATOR_STALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum time for receiving the head of an operator's request.
+const OPERATOR_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of bytes buffered for an operator's connection.
+const OPERATOR_BUFFER_BYTES: usize = 8 << 10;
+/// One in this many engine connections is reserved for calls that release states.
+const RESERVED_CONNECTIONS_DIVISOR: usize = 16;
+/// Interval at which the pool closes engine connections that have been idle for too long.
+const RETIRE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum time without progress on a client's connection within a request or before the first one.
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time for receiving the head of a client's request.
+const CLIENT_HEAD_TIMEOUT: Duration = Duration::from_secs(8);
+/// Minimum idle time between two requests before a client's connection is closed to make room for others.
+const CLIENT_MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum idle time between two requests on a client's connection.
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Hands changes to a driver.
-async fn follow(mut changes: impl Changes, gateway: Gateway<HttpEngines>) {
+/// Forwards changes from a source to a driver until either of them ends.
+async fn forward_changes(mut changes: impl Changes, gateway: Gateway<HttpEngines>) {
     while let Some(change) = changes.next().await {
         match &change.news {
             News::Settings(_) => log::info!("settings rev={}", change.revision),
@@ -53,19 +56,19 @@
     }
 }
 
-fn tuning(bounds: &Bounds) -> Tuning {
+fn driver_tuning(bounds: &Bounds) -> Tuning {
     let mut tuning = Tuning::default();
     tuning.limits.requests = bounds.requests;
     tuning.limits.bytes = bounds.open_chat_bytes;
     tuning
 }
 
-/// An address that stays.
-fn fixed(address: &str) -> watch::Receiver<Arc<str>> {
+/// Returns a receiver for an address that never changes.
+fn constant_address(address: &str) -> watch::Receiver<Arc<str>> {
     watch::Sender::new(Arc::from(address)).subscribe()
 }
 
-/// Starts drivers, and tells when one has ended.
+/// Starts drivers and reports the end of each driver.
 struct Drivers {
     pool: Rc<Pool>,
     bounds: Bounds,
@@ -84,12 +87,12 @@
         roster: Watch,
     ) -> Result<Gateway<HttpEngines>, Box<dyn Error>> {
         let (gateway, driver) = gateway::start(name, settings, self.seed, engines, tuning)?;
-        tokio::task::spawn_local(follow(roster, gateway.clone()));
+        tokio::task::spawn_local(forward_changes(roster, gateway.clone()));
         let ended = self.ended.clone();
         tokio::task::spawn_local(async move {
-            let how = format!("{:?}", driver.await);
-            // Nobody is left to tell when the daemon has returned.
-            let _ = ended.send(how).await;
+            let result = format!("{:?}", driver.await);
+            // The send fails only after the daemon has returned, when the result no longer matters.
+            let _ = ended.send(result).await;
         });
         Ok(gateway)
     }
@@ -97,16 +100,17 @@
     fn models(&self, file: &config::Inference) -> Result<Vec<Model>, Box<dyn Error>> {
         let mut models = Vec::new();
         for pool in &file.pools {
-            let mut tuning = tuning(&self.bounds);
+            let mut tuning = driver_tuning(&self.bounds);
             tuning.limits.keep = file.keep_answers();
             tuning.limits.bytes = self.bounds.inference_bytes / 2 / file.pools.len();
             tuning.limits.keep_bytes = tuning.limits.bytes;
-            let most = self.bounds.max_answer_bytes;
-            let engines = HttpEngines::new(self.pool.clone(), config::LoadNames::default(), false, most);
+            let max_answer = self.bounds.max_answer_bytes;
+            let engines =
+                HttpEngines::new(self.pool.clone(), config::LoadNames::default(), false, max_answer);
             let names = config::Names { kinds: vec![pool.model.clone()], ..config::Names::default() };
             let mode = pool.membership_mode.map(|mode| mode == config::MembershipMode::Ask);
             let asking = Asking { shared: mode.unwrap_or(self.asking.shared), ..self.asking };
-            let roster = Watch::new(fixed(&pool.discovery), names, pool.known.clone(), asking);
+            let roster = Watch::new(constant_address(&pool.discovery), names, pool.known.clone(), asking);
             let gateway = self.start(&pool.model, file.settings(pool), tuning, engines, roster)?;
             models.push(Model {
                 name: pool.model.clone(),
@@ -120,8 +124,8 @@
     }
 }
 
-/// Lets the other process of this gateway know as soon as this one can serve, and then says so: whoever hears
-/// that this one takes clients may stop the other at once.
+/// Records that this process accepts clients, as soon as it can serve. Readiness is reported only afterwards,
+/// because an operator who sees this process ready may immediately stop the gateway's other process.
 fn claim_when_ready(chat: &Gateway<HttpEngines>, shared: &config::Shared) {
     let (chat, shared) = (chat.clone(), shared.clone());
     tokio::task::spawn_local(async move {
@@ -129,41 +133,41 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         if let Err(error) = shared.claim() {
-            log::warn!("claim not written down {error}");
+            log::warn!("claim of the gateway not persisted error={error}");
         }
     });
 }
 
-/// Answers operators until the process ends: `connections` at a time, and above that so many are turned away.
+/// Serves operators until the process ends: `connections` at a time, and `spare` more get an error response.
 fn serve_operators(listener: TcpListener, front: Management, (connections, spare): (usize, usize)) {
     let limits = ServeLimits {
         connections,
         spare,
-        buffer: CALL_BYTES,
-        ahead: CALL_BYTES,
-        stall: CALL_STALL,
-        head: CALL,
-        idle: CALL_STALL,
-        idle_least: CALL_STALL / 4,
+        buffer: OPERATOR_BUFFER_BYTES,
+        ahead: OPERATOR_BUFFER_BYTES,
+        stall: OPERATOR_STALL_TIMEOUT,
+        head: OPERATOR_HEAD_TIMEOUT,
+        idle: OPERATOR_STALL_TIMEOUT,
+        idle_least: OPERATOR_STALL_TIMEOUT / 4,
     };
-    let always = watch::Sender::new(Phase::Serving);
-    let phases = always.subscribe();
+    let serving = watch::Sender::new(Phase::Serving);
+    let phases = serving.subscribe();
     tokio::task::spawn_local(async move {
         net::serve(listener, Rc::new(front), limits, phases).await;
-        drop(always);
+        drop(serving);
     });
 }
 
-/// Where operators call, and what the processes of one gateway share.
+/// Listener for operators, and the state shared by the processes of one gateway.
 pub struct Operation {
-    /// Listens for operators' calls.
+    /// Listener for operators' requests, if management is enabled.
     pub management: Option<TcpListener>,
-    /// Orders, and who takes clients.
+    /// Operator commands, and the identifier of the process that accepts clients.
     pub shared: config::Shared,
 }
 
-/// Serves on the listener until `stop` is done and what is open has ended. Chat's settings and discovery
-/// follow `reload`.
+/// Serves on the listener until `stop` completes and the open requests have ended. `reload` updates the
+/// settings and the discovery address of the chat front.
 pub async fn run(
     config: Config,
     inference: Option<config::Inference>,
@@ -175,36 +179,38 @@
     let bounds = Bounds::from(config.resources);
     let pool = Pool::new(PoolLimits {
         connections: bounds.engine_connections,
-        reserved: (bounds.engine_connections / RESERVED_PART).max(1),
+        reserved: (bounds.engine_connections / RESERVED_CONNECTIONS_DIVISOR).max(1),
         buffer: bounds.connection_buffer_bytes,
         dial_timeout: config.dial_timeout,
         idle: config.idle_limit / 2,
     });
-    let (ended, mut drivers_end) = mpsc::channel(1);
-    // A seed that is not told, or told twice, must not make gateways ask in step.
-    let stamp = gateway::Clock::default().now() ^ config.seed.rotate_left(32);
+    let (ended, mut driver_results) = mpsc::channel(1);
+    // The id differs between processes even if their configured seeds are missing or equal: gateways with the
+    // same seed would query discovery at the same moments.
+    let instance_id = gateway::Clock::default().now() ^ config.seed.rotate_left(32);
     let asking = Asking {
         shared: config.shared_discovery,
         gateways: config.settings.replicas,
-        seed: stamp,
+        seed: instance_id,
         told_after: config.informed_after,
     };
     let drivers = Drivers { pool: pool.clone(), bounds, seed: config.seed, asking, ended };
     let engines = HttpEngines::new(pool.clone(), config.load.clone(), true, bounds.max_answer_bytes);
-    let tries = engines.tries();
-    let address = reload.as_ref().map_or_else(|| fixed(&config.discovery), config::Reload::discovery);
+    let sent_attempts = engines.tries();
+    let address =
+        reload.as_ref().map_or_else(|| constant_address(&config.discovery), config::Reload::discovery);
     let roster = Watch::new(address, config.names.clone(), config.known, asking);
-    let chat = drivers.start("chat", config.settings, tuning(&bounds), engines, roster)?;
+    let chat = drivers.start("chat", config.settings, driver_tuning(&bounds), engines, roster)?;
     let Operation { management, shared } = operation;
-    tokio::task::spawn_local(follow(config::OperatorCommands::new(shared.clone()), chat.clone()));
+    tokio::task::spawn_local(forward_changes(config::OperatorCommands::new(shared.clone()), chat.clone()));
     if let Some(reload) = reload {
-        tokio::task::spawn_local(follow(reload, chat.clone()));
+        tokio::task::spawn_local(forward_changes(reload, chat.clone()));
     }
     let models = inference.as_ref().map(|file| drivers.models(file)).transpose()?;
     let gateways: Vec<_> = models.iter().flatten().map(|m| m.gateway.clone()).chain([chat.clone()]).collect();
     tokio::task::spawn_local(async move {
         loop {
-            tokio::time::sleep(RETIRE_EVERY).await;
+            tokio::time::sleep(RETIRE_INTERVAL).await;
             pool.retire();
         }
     });
@@ -214,7 +220,7 @@
         let front = Management {
             gateway: chat.clone(),
             classes: config.names.classes.clone(),
-            tries,
+            sent_attempts,
             shared: shared.clone(),
             phase: phase.clone(),
         };
@@ -223,7 +229,7 @@
     let bodies = Rc::new(Bodies::new(bounds.body_read_bytes, phases.clone()));
     let fronts = Fronts {
         platform: Platform::new(chat.clone(), config.names, bodies.clone()),
-        inference: models.map(|models| Inference::new(models, bodies, stamp)),
+        inference: models.map(|models| Inference::new(models, bodies, instance_id)),
         phase: phases.clone(),
         shared: shared.clone(),
     };
@@ -233,46 +239,46 @@
         spare: bounds.excess_client_connections,
         buffer: bounds.connection_buffer_bytes,
         ahead: bounds.read_ahead_bytes,
-        stall: CLIENT_STALL,
-        head: CLIENT_HEAD,
-        idle: CLIENT_IDLE,
-        idle_least: CLIENT_IDLE_LEAST,
+        stall: CLIENT_STALL_TIMEOUT,
+        head: CLIENT_HEAD_TIMEOUT,
+        idle: CLIENT_IDLE_TIMEOUT,
+        idle_least: CLIENT_MIN_IDLE_TIMEOUT,
     };
     claim_when_ready(&chat, &shared);
     let mut served = tokio::task::spawn_local(net::serve(listener, Rc::new(fronts), limits, phases));
     tokio::select! {
-        Some(how) = drivers_end.recv() => return Err(format!("a driver ended: {how}").into()),
-        how = &mut served => return Err(format!("no client is taken any more: {how:?}").into()),
+        Some(result) = driver_results.recv() => return Err(format!("driver ended: {result}").into()),
+        result = &mut served => return Err(format!("client listener ended: {result:?}").into()),
         () = stop => {}
     }
-    // Where a new version takes clients already on the same socket, none must come here any more.
+    // If a new version already accepts clients on the same socket, this process must accept none any more.
     let superseded = shared.is_superseded();
     log::info!("stopping open={} superseded={superseded}", chat.open());
     phase.send_replace(if superseded { Phase::Superseded } else { Phase::Leaving });
     let plan = StopPlan::new(Instant::now(), &chat.settings(), config.resume);
-    gateways.iter().for_each(|gateway| gateway.leave(plan.departure));
+    gateways.iter().for_each(|gateway| gateway.leave(plan.schedule));
     if !superseded {
         tokio::time::sleep(plan.serve_for).await;
         phase.send_replace(Phase::Closing);
     }
     tokio::select! {
         served = &mut served => served?,
-        () = tokio::time::sleep_until(plan.departure.answers_by) => {
-            // Whatever has not come to its end by now would come to a process that is being killed.
+        () = tokio::time::sleep_until(plan.schedule.answers_by) => {
+            // Requests still open are ended now, because the process is killed shortly afterwards.
             phase.send_replace(Phase::Ended);
             served.await?;
         }
     }
-    end_releases(&gateways, plan.ends_by).await;
+    wait_for_releases(&gateways, plan.ends_by).await;
     log::info!("stopped open={}", chat.open());
     Ok(())
 }
 
-/// Waits until all that servers hold for requests was let go, or the process has to end.
-async fn end_releases(gateways: &[Gateway<HttpEngines>], by: Instant) {
-    tokio::time::sleep(LAST_RELEASES).await;
+/// Waits until every state held by servers has been released, or until the process has to end.
+async fn wait_for_releases(gateways: &[Gateway<HttpEngines>], deadline: Instant) {
+    tokio::time::sleep(RELEASE_START_DELAY).await;
     let is_busy = |gateway: &Gateway<HttpEngines>| gateway.open() > 0 || gateway.is_releasing();
-    while gateways.iter().any(is_busy) && Instant::now() < by {
-        tokio::time::sleep(LAST_LOOK_EVERY).await;
+    while gateways.iter().any(is_busy) && Instant::now() < deadline {
+        tokio::time::sleep(RELEASE_POLL_INTERVAL).await;
     }
 }
--- a/src/front/management.rs
+++ b/src/front/management.rs
@@ -26,7 +26,7 @@
     /// The names of its classes.
     pub classes: Vec<String>,
     /// Attempts that were written whole.
-    pub tries: Rc<Cell<u64>>,
+    pub sent_attempts: Rc<Cell<u64>>,
     /// Where orders are written down.
     pub shared: Shared,
     /// How far a drain or a stop has come.
@@ -105,7 +105,7 @@
         }
         let plain = |value: u64| [(String::new(), value)];
         line("handled", "counter", &handled);
-        line("upstream_tries", "counter", &plain(self.tries.get()));
+        line("upstream_tries", "counter", &plain(self.sent_attempts.get()));
         line("in_progress", "gauge", &plain(figures.open as u64));
         line("known_engines", "gauge", &plain(figures.listed as u64));
         line("skipped_engines", "gauge", &plain(figures.avoided as u64));
