--- a/src/daemon/stop.rs
+++ b/src/daemon/stop.rs
@@ -1,53 +1,59 @@
-//! The times of a planned stop, which is followed by a kill.
+//! Schedule of a planned stop. The process is killed some time after it was asked to stop.
 
 use crate::gateway::Departure;
 use crate::interface::Settings;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A program that was asked to stop is killed no sooner than after its longest deadline, counted as this
-/// where it is longer, and a little more.
-const LONGEST_COUNTED: Duration = Duration::from_secs(3);
-const KILLED_AFTER: Duration = Duration::from_millis(700);
-/// How long before that the last answer is given.
-const ANSWERED_BEFORE: Duration = Duration::from_millis(300);
-/// How long before that the process ends, also where something is still being let go.
-const ENDED_BEFORE: Duration = Duration::from_millis(20);
-/// For how long new connections and requests are still taken, in any case and as a part of the longest
-/// deadline: another gateway may be restarting just then.
-const LEAVING: Duration = Duration::from_millis(500);
-const LEAVING_PART: f64 = 0.3;
-/// Where clients do not ask for the rest of an answer no more is taken that could still run when the program is
-/// killed: what comes within this time of the order may (protocol: 0.7 s).
-const LEAVING_WHOLE: Duration = Duration::from_millis(600);
-/// When running answers are handed over, as parts of the time until the end, first and last: late, so that
-/// most end by themselves and a gateway that stopped before this one is back.
-const HAND_OVER: (f64, f64) = (0.65, 0.85);
-/// What happens when, once the program was asked to stop.
+/// Maximum request deadline that delays the kill. A process that was asked to stop is killed no sooner than
+/// after its longest request deadline, which counts as this duration if it is longer, plus `KILL_MARGIN`.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Time between the longest counted deadline and the kill.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+/// Time before the kill at which the last answer is given.
+const ANSWER_MARGIN: Duration = Duration::from_millis(300);
+/// Time before the kill at which the process ends, even if some states have not been released.
+const EXIT_MARGIN: Duration = Duration::from_millis(20);
+/// Minimum time for which new connections and requests are still accepted after the request to stop, because
+/// another gateway may be restarting at that moment.
+const SERVE_BASE: Duration = Duration::from_millis(500);
+/// Fraction of the longest counted deadline by which that time is extended.
+const SERVE_DEADLINE_FRACTION: f64 = 0.3;
+/// Maximum time for which requests are still accepted if clients do not request the rest of a broken answer.
+/// A request accepted later could still run when the process is killed; the protocol allows that for requests
+/// that arrive within 0.7 s of the request to stop.
+const MAX_SERVE_WITHOUT_RESUME: Duration = Duration::from_millis(600);
+/// First and last time at which running answers are handed off to another gateway, as fractions of the time
+/// until the kill. They are late so that most answers complete by themselves and a gateway that was stopped
+/// before this one has restarted.
+const HAND_OFF_FRACTIONS: (f64, f64) = (0.65, 0.85);
+
+/// Times of the steps that follow a request to stop.
 pub(super) struct StopPlan {
-    /// When requests are answered and running answers ended at the latest.
-    pub(super) departure: Departure,
-    /// For how long new connections and requests are still taken.
+    /// Latest times for answering requests and for ending running answers.
+    pub(super) schedule: Departure,
+    /// Time for which new connections and requests are still accepted.
     pub(super) serve_for: Duration,
-    /// By when the process ends, whatever is left.
+    /// Time at which the process ends, even if work is left.
     pub(super) ends_by: Instant,
 }
 
 impl StopPlan {
-    /// A plan by the settings as they are when the stop is asked for; `resume` tells whether clients ask for the rest of an
-    /// answer that broke.
-    pub(super) fn new(asked: Instant, settings: &Settings, resume: bool) -> Self {
-        let longest = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-        let counted = Duration::from_micros(longest).min(LONGEST_COUNTED);
-        let end = counted + KILLED_AFTER;
-        let (first, last) = (end.mul_f64(HAND_OVER.0), end.mul_f64(HAND_OVER.1));
-        let departure = Departure {
-            take_until: (!resume).then_some(asked + LEAVING_WHOLE),
-            answers_by: asked + end - ANSWERED_BEFORE,
-            hand_over: resume.then_some((asked + first, last - first)),
+    /// Computes the plan from the settings at the time of the request to stop. `resume` is true if clients
+    /// request the rest of an answer whose connection broke.
+    pub(super) fn new(requested_at: Instant, settings: &Settings, resume: bool) -> Self {
+        let max_deadline = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let counted_deadline = Duration::from_micros(max_deadline).min(MAX_COUNTED_DEADLINE);
+        let kill_delay = counted_deadline + KILL_MARGIN;
+        let (hand_off_from, hand_off_until) =
+            (kill_delay.mul_f64(HAND_OFF_FRACTIONS.0), kill_delay.mul_f64(HAND_OFF_FRACTIONS.1));
+        let schedule = Departure {
+            take_until: (!resume).then_some(requested_at + MAX_SERVE_WITHOUT_RESUME),
+            answers_by: requested_at + kill_delay - ANSWER_MARGIN,
+            hand_over: resume.then_some((requested_at + hand_off_from, hand_off_until - hand_off_from)),
         };
-        let serve_for = LEAVING + counted.mul_f64(LEAVING_PART);
-        let serve_for = if resume { serve_for } else { serve_for.min(LEAVING_WHOLE) };
-        Self { departure, serve_for, ends_by: asked + end - ENDED_BEFORE }
+        let serve_for = SERVE_BASE + counted_deadline.mul_f64(SERVE_DEADLINE_FRACTION);
+        let serve_for = if resume { serve_for } else { serve_for.min(MAX_SERVE_WITHOUT_RESUME) };
+        Self { schedule, serve_for, ends_by: requested_at + kill_delay - EXIT_MARGIN }
     }
 }
