--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -3,7 +3,7 @@
 mod stop;
 
 use crate::config::{self, Bounds, Config};
-use crate::front::{Bodies, Fronts, Inference, Management, Model, Platform};
+use crate::front::{BodyReader, Fronts, Inference, Management, Model, Platform};
 use crate::gateway::{self, Changes, Gateway, News, Tuning};
 use crate::interface::Settings;
 use crate::net::{self, Asking, HttpEngines, Phase, Pool, PoolLimits, ServeLimits, Watch};
@@ -226,10 +226,10 @@
         };
         serve_operators(listener, front, bounds.management_connections);
     }
-    let bodies = Rc::new(Bodies::new(bounds.body_read_bytes, phases.clone()));
+    let body_reader = Rc::new(BodyReader::new(bounds.body_read_bytes, phases.clone()));
     let fronts = Fronts {
-        platform: Platform::new(chat.clone(), config.names, bodies.clone()),
-        inference: models.map(|models| Inference::new(models, bodies, instance_id)),
+        platform: Platform::new(chat.clone(), config.names, body_reader.clone()),
+        inference: models.map(|models| Inference::new(models, body_reader, instance_id)),
         phase: phases.clone(),
         shared: shared.clone(),
     };
--- a/src/front/inference.rs
+++ b/src/front/inference.rs
@@ -1,6 +1,7 @@
-//! Embeddings and rerank in their usual shapes, on the same core as chat: one driver for each model.
+//! Embeddings and rerank APIs in their usual formats, on the same core as chat, with one driver for each
+//! model.
 
-use super::intake::{Bodies, TOKEN_CHARS, Whole, header, span};
+use super::intake::{BodyReader, CHARS_PER_TOKEN, ReceivedRequest, header_text, parse_duration};
 use super::reply;
 use crate::config::Api;
 use crate::gateway::{Answer, Gateway, Key, Submission};
@@ -16,33 +17,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest idempotency key.
-const KEY_CHARS: usize = 255;
+/// Maximum length of an idempotency key, in characters.
+const MAX_KEY_CHARS: usize = 255;
 
-/// One model: its driver and what its calls may be.
+/// A model with its driver and the limits of its calls.
 pub struct Model {
-    /// Its name in calls.
+    /// Name of the model in calls.
     pub name: String,
-    /// Which call it answers.
+    /// API call that the model answers.
     pub api: Api,
-    /// How long a call may take, in microseconds.
+    /// Maximum duration of a call, in microseconds.
     pub deadline: Micros,
-    /// Most inputs or documents in a call.
+    /// Maximum number of inputs or documents in a call.
     pub max_inputs: usize,
-    /// The driver.
+    /// Handle of the model's driver.
     pub gateway: Gateway<HttpEngines>,
 }
 
 /// The front for embeddings and rerank.
 pub struct Inference {
     models: Vec<Model>,
-    bodies: Rc<Bodies>,
-    /// Sets this process's request ids apart from others'.
-    stamp: u64,
-    calls: Cell<u64>,
+    body_reader: Rc<BodyReader>,
+    /// Identifier of this process, which distinguishes its request ids from those of other processes.
+    instance_id: u64,
+    call_count: Cell<u64>,
 }
 
-/// An embeddings call, as far as it is looked at.
+/// The fields of an embeddings call that the gateway reads.
 #[derive(Deserialize)]
 struct Embeddings {
     model: String,
@@ -55,10 +56,10 @@
     Text(String),
     Texts(Vec<String>),
     Tokens(Vec<u32>),
-    Lists(Vec<Vec<u32>>),
+    TokenLists(Vec<Vec<u32>>),
 }
 
-/// A rerank call, as far as it is looked at.
+/// The fields of a rerank call that the gateway reads.
 #[derive(Deserialize)]
 struct Rerank {
     model: String,
@@ -75,38 +76,41 @@
     Object { text: String },
 }
 
-/// What a call asks: its model, how many inputs, how many tokens, and how many entries answer it.
+/// Summary of a call: its model, its number of inputs and tokens, and the number of entries in a complete
+/// answer.
 #[derive(Debug, PartialEq)]
-struct Ask {
+struct CallSummary {
     model: String,
     inputs: usize,
     tokens: usize,
     entries: usize,
 }
 
-fn tokens(chars: usize) -> usize {
-    chars.div_ceil(TOKEN_CHARS)
+fn estimate_tokens(chars: usize) -> usize {
+    chars.div_ceil(CHARS_PER_TOKEN)
 }
 
-fn embeddings(body: &[u8]) -> Result<Ask, String> {
+fn parse_embeddings(body: &[u8]) -> Result<CallSummary, String> {
     let call: Embeddings = serde_json::from_slice(body).map_err(|_| "the body is no embeddings call")?;
     let (inputs, count, empty) = match &call.input {
-        Input::Text(text) => (1, tokens(text.len()), text.is_empty()),
-        Input::Texts(texts) => {
-            (texts.len(), texts.iter().map(|t| tokens(t.len())).sum(), texts.iter().any(String::is_empty))
-        }
+        Input::Text(text) => (1, estimate_tokens(text.len()), text.is_empty()),
+        Input::Texts(texts) => (
+            texts.len(),
+            texts.iter().map(|t| estimate_tokens(t.len())).sum(),
+            texts.iter().any(String::is_empty),
+        ),
         Input::Tokens(list) => (1, list.len(), list.is_empty()),
-        Input::Lists(lists) => {
+        Input::TokenLists(lists) => {
             (lists.len(), lists.iter().map(Vec::len).sum(), lists.iter().any(Vec::is_empty))
         }
     };
     if inputs == 0 || empty {
         return Err("input: empty".into());
     }
-    Ok(Ask { model: call.model, inputs, tokens: count, entries: inputs })
+    Ok(CallSummary { model: call.model, inputs, tokens: count, entries: inputs })
 }
 
-fn rerank(body: &[u8]) -> Result<Ask, String> {
+fn parse_rerank(body: &[u8]) -> Result<CallSummary, String> {
     let call: Rerank = serde_json::from_slice(body).map_err(|_| "the body is no rerank call")?;
     if call.query.is_empty() || call.documents.is_empty() {
         return Err("query or documents: empty".into());
@@ -114,39 +118,41 @@
     if call.top_n == Some(0) {
         return Err("top_n: below 1".into());
     }
-    let length = |document: &Document| match document {
-        Document::Text(text) | Document::Object { text } => tokens(call.query.len() + text.len()),
+    let document_tokens = |document: &Document| match document {
+        Document::Text(text) | Document::Object { text } => estimate_tokens(call.query.len() + text.len()),
     };
     let inputs = call.documents.len();
-    Ok(Ask {
-        tokens: call.documents.iter().map(length).sum(),
+    Ok(CallSummary {
+        tokens: call.documents.iter().map(document_tokens).sum(),
         entries: call.top_n.map_or(inputs, |top| top.min(inputs)),
         inputs,
         model: call.model,
     })
 }
 
-/// Under which key a call is repeated: a key is its client's own.
-fn key(headers: &HeaderMap, api: Api, body: &[u8]) -> Result<Option<Key>, String> {
-    let Some(key) = header(headers, "idempotency-key")? else { return Ok(None) };
-    if key.is_empty() || key.len() > KEY_CHARS {
+/// Parses the idempotency key of a call. The key is combined with the client's credentials, because different
+/// clients may choose equal keys.
+fn parse_key(headers: &HeaderMap, api: Api, body: &[u8]) -> Result<Option<Key>, String> {
+    let Some(key) = header_text(headers, "idempotency-key")? else { return Ok(None) };
+    if key.is_empty() || key.len() > MAX_KEY_CHARS {
         return Err("idempotency-key: empty or too long".into());
     }
-    let mut client = DefaultHasher::new();
-    headers.get(AUTHORIZATION).map(|value| value.as_bytes()).hash(&mut client);
-    let mut asks = DefaultHasher::new();
-    (api == Api::Rerank, body).hash(&mut asks);
-    let key = Arc::from(format!("{:016x}:{key}", client.finish()));
-    Ok(Some(Key { key, fingerprint: asks.finish() }))
+    let mut client_hasher = DefaultHasher::new();
+    headers.get(AUTHORIZATION).map(|value| value.as_bytes()).hash(&mut client_hasher);
+    let mut fingerprint_hasher = DefaultHasher::new();
+    (api == Api::Rerank, body).hash(&mut fingerprint_hasher);
+    let key = Arc::from(format!("{:016x}:{key}", client_hasher.finish()));
+    Ok(Some(Key { key, fingerprint: fingerprint_hasher.finish() }))
 }
 
 impl Inference {
-    /// A front of these models; the stamp sets its request ids apart from other processes'.
-    pub fn new(models: Vec<Model>, bodies: Rc<Bodies>, stamp: u64) -> Self {
-        Self { models, bodies, stamp, calls: Cell::new(0) }
+    /// Creates a front for the models. `instance_id` distinguishes its request ids from those of other
+    /// processes.
+    pub fn new(models: Vec<Model>, body_reader: Rc<BodyReader>, instance_id: u64) -> Self {
+        Self { models, body_reader, instance_id, call_count: Cell::new(0) }
     }
 
-    /// Which call a path is.
+    /// Returns the API call that a path stands for.
     pub(super) fn api(path: &str) -> Option<Api> {
         match path {
             "/v1/embeddings" => Some(Api::Embeddings),
@@ -157,53 +163,55 @@
 
     /// Answers a call.
     pub(super) async fn call(&self, api: Api, request: Request<Incoming>) -> Response<FrontBody> {
-        let Whole { came, path, headers, body } = match self.bodies.read(request).await {
-            Ok(whole) => whole,
+        let ReceivedRequest { received_at, path, headers, body } = match self.body_reader.read(request).await
+        {
+            Ok(received) => received,
             Err(response) => return response,
         };
-        let asked = match api {
-            Api::Embeddings => embeddings(&body),
-            Api::Rerank => rerank(&body),
+        let parsed = match api {
+            Api::Embeddings => parse_embeddings(&body),
+            Api::Rerank => parse_rerank(&body),
         };
-        let bad = |message: &str| reply::error(StatusCode::BAD_REQUEST, message);
-        let ask = match asked {
-            Ok(ask) => ask,
-            Err(message) => return bad(&message),
+        let bad_request = |message: &str| reply::error(StatusCode::BAD_REQUEST, message);
+        let summary = match parsed {
+            Ok(summary) => summary,
+            Err(message) => return bad_request(&message),
         };
-        let Some(model) = self.models.iter().find(|m| m.api == api && m.name == ask.model) else {
+        let Some(model) = self.models.iter().find(|m| m.api == api && m.name == summary.model) else {
             return reply::error(StatusCode::NOT_FOUND, "no such model for this call");
         };
-        if ask.inputs > model.max_inputs {
+        if summary.inputs > model.max_inputs {
             return reply::error(StatusCode::PAYLOAD_TOO_LARGE, "more inputs than the model takes in a call");
         }
-        let deadline = match header(&headers, "req-deadline") {
+        let deadline = match header_text(&headers, "req-deadline") {
             Ok(None) => model.deadline,
-            Ok(Some(text)) => match span(text) {
-                Some(span) => span.min(model.deadline),
-                None => return bad("req-deadline: not a span"),
+            Ok(Some(text)) => match parse_duration(text) {
+                Some(duration) => duration.min(model.deadline),
+                None => return bad_request("req-deadline: not a span"),
             },
-            Err(message) => return bad(&message),
+            Err(message) => return bad_request(&message),
         };
-        let key = match key(&headers, api, &body) {
+        let key = match parse_key(&headers, api, &body) {
             Ok(key) => key,
-            Err(message) => return bad(&message),
+            Err(message) => return bad_request(&message),
         };
-        let expires_in = deadline.saturating_sub(came.elapsed().as_micros() as Micros);
+        let expires_in = deadline.saturating_sub(received_at.elapsed().as_micros() as Micros);
         let list = if api == Api::Rerank { "results" } else { "data" };
         let size = body.len();
         let submission = Submission {
             arrival: Arrival {
                 id: self.next_id(),
-                prompt_tokens: ask.tokens as f64,
+                prompt_tokens: summary.tokens as f64,
                 expires_in,
                 ..Arrival::default()
             },
-            // Repeats under a key are recognised here; engines are sent no more than one run of it at a time.
+            // The gateway recognises repeats by their key and sends engines at most one run of a call at a
+            // time.
             job: Job {
                 path,
                 body,
                 idempotency_key: None,
-                manner: Manner::Single { list, entries: ask.entries },
+                manner: Manner::Single { list, entries: summary.entries },
             },
             size,
             key,
@@ -212,15 +220,16 @@
             Ok(ticket) => ticket,
             Err(rejected) => return reply::rejection(rejected),
         };
-        // A repeat waits for a try with a deadline of its own; it is answered in its own time.
-        let own = tokio::time::timeout(Duration::from_micros(expires_in), ticket.answer()).await;
-        reply::respond(own.unwrap_or(Answer::Failed { timed_out: true }))
+        // A repeat waits for an earlier call that has its own deadline, so the repeat's deadline is applied
+        // here.
+        let result = tokio::time::timeout(Duration::from_micros(expires_in), ticket.answer()).await;
+        reply::respond(result.unwrap_or(Answer::Failed { timed_out: true }))
     }
 
     fn next_id(&self) -> RequestId {
-        let call = self.calls.get();
-        self.calls.set(call + 1);
-        RequestId(Arc::from(format!("{:016x}-{call:08x}", self.stamp)))
+        let call = self.call_count.get();
+        self.call_count.set(call + 1);
+        RequestId(Arc::from(format!("{:016x}-{call:08x}", self.instance_id)))
     }
 }
 
@@ -229,7 +238,7 @@
     use super::*;
     use rstest::rstest;
 
-    // What cannot be answered is told before it takes an engine's time.
+    // A call that no engine could answer is rejected before it is sent to an engine.
     #[rstest]
     #[case(r#"{"model":"m","input":"four characters"}"#, Some((1, 4, 1)))]
     #[case(r#"{"model":"m","input":["a","b"],"dimensions":8}"#, Some((2, 2, 2)))]
@@ -240,9 +249,9 @@
     #[case(r#"{"model":"m","input":7}"#, None)]
     #[case(r#"{"input":"a"}"#, None)]
     #[case("[]", None)]
-    fn embeddings_call_is_read(#[case] body: &str, #[case] expected: Option<(usize, usize, usize)>) {
-        let ask = embeddings(body.as_bytes()).ok().map(|a| (a.inputs, a.tokens, a.entries));
-        assert_eq!(ask, expected);
+    fn embeddings_call_is_parsed(#[case] body: &str, #[case] expected: Option<(usize, usize, usize)>) {
+        let summary = parse_embeddings(body.as_bytes()).ok().map(|a| (a.inputs, a.tokens, a.entries));
+        assert_eq!(summary, expected);
     }
 
     #[rstest]
@@ -253,8 +262,8 @@
     #[case(r#"{"model":"m","query":"q","documents":[]}"#, None)]
     #[case(r#"{"model":"m","query":"","documents":["a"]}"#, None)]
     #[case(r#"{"model":"m","documents":["a"]}"#, None)]
-    fn rerank_call_is_read(#[case] body: &str, #[case] expected: Option<(usize, usize, usize)>) {
-        let ask = rerank(body.as_bytes()).ok().map(|a| (a.inputs, a.tokens, a.entries));
-        assert_eq!(ask, expected);
+    fn rerank_call_is_parsed(#[case] body: &str, #[case] expected: Option<(usize, usize, usize)>) {
+        let summary = parse_rerank(body.as_bytes()).ok().map(|a| (a.inputs, a.tokens, a.entries));
+        assert_eq!(summary, expected);
     }
 }
--- a/src/front/intake.rs
+++ b/src/front/intake.rs
@@ -1,4 +1,4 @@
-//! What every front does with a request first: its head and body read within their bounds.
+//! Receives requests for all fronts: reads the head and the body within limits of size and time.
 
 use super::reply;
 use crate::gateway::Rejected;
@@ -13,96 +13,102 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Semaphore, watch};
 
-/// Characters of a token.
-pub(super) const TOKEN_CHARS: usize = 4;
-/// Most bytes of a body.
-const BODY_BYTES: usize = 256 << 10;
-/// How long a body may stand still while it comes in, and how long it may take in all.
-const BODY_STALL: Duration = Duration::from_secs(2);
-const BODY_PATIENCE: Duration = Duration::from_secs(10);
+/// Average number of characters in a token, by which prompt lengths are estimated.
+pub(super) const CHARS_PER_TOKEN: usize = 4;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 256 << 10;
+/// Maximum time between two chunks of a request body.
+const BODY_STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time for receiving a complete request body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A request that has come in whole.
-pub(super) struct Whole {
-    /// When its head had come.
-    pub(super) came: Instant,
-    /// Path and query.
+/// A request that has been received completely.
+pub(super) struct ReceivedRequest {
+    /// Time at which the head was received.
+    pub(super) received_at: Instant,
+    /// Path and query of the request.
     pub(super) path: String,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
 }
 
-/// Bounds the bytes of all bodies that are being read: many at once could hold more than there is.
-pub struct Bodies {
-    room: Semaphore,
+/// Reads request bodies and limits the bytes of all bodies that are being read, because many bodies at once
+/// could exceed the memory of the process.
+pub struct BodyReader {
+    byte_budget: Semaphore,
     phase: watch::Receiver<Phase>,
 }
 
-impl Bodies {
-    /// Room for so many bytes; none is read any more once the gateway's stop has ended.
+impl BodyReader {
+    /// Creates a reader with a limit of `bytes` for all bodies together. Reading ends with the last phase of
+    /// a planned stop.
     pub fn new(bytes: usize, phase: watch::Receiver<Phase>) -> Self {
-        Self { room: Semaphore::new(bytes), phase }
+        Self { byte_budget: Semaphore::new(bytes), phase }
     }
 
-    /// Waits until no more is to be read.
-    async fn ended(&self) {
+    /// Waits until the planned stop has ended, after which no body is read any more.
+    async fn wait_for_end(&self) {
         if self.phase.clone().wait_for(|phase| *phase == Phase::Ended).await.is_err() {
-            // Nobody is left to end anything.
+            // The sender of the phase was dropped, so that the phase can no longer change.
             std::future::pending::<()>().await;
         }
     }
 
-    /// Reads a request within its bounds of size and time.
-    pub(super) async fn read(&self, request: Request<Incoming>) -> Result<Whole, Response<FrontBody>> {
-        let came = Instant::now();
+    /// Reads a request within the limits of size and time, or returns the error response.
+    pub(super) async fn read(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<ReceivedRequest, Response<FrontBody>> {
+        let received_at = Instant::now();
         let (head, body) = request.into_parts();
-        let long = || reply::error(StatusCode::PAYLOAD_TOO_LARGE, "the body is longer than 256 KiB");
-        let told = body.size_hint();
-        if told.lower() > BODY_BYTES as u64 {
-            return Err(long());
+        let too_long = || reply::error(StatusCode::PAYLOAD_TOO_LARGE, "the body is longer than 256 KiB");
+        let size_hint = body.size_hint();
+        if size_hint.lower() > MAX_BODY_BYTES as u64 {
+            return Err(too_long());
         }
-        let most = told.upper().unwrap_or(BODY_BYTES as u64);
-        let Ok(_room) = self.room.try_acquire_many(most as u32) else {
+        let max_size = size_hint.upper().unwrap_or(MAX_BODY_BYTES as u64);
+        let Ok(_reserved_bytes) = self.byte_budget.try_acquire_many(max_size as u32) else {
             return Err(reply::rejection(Rejected::Busy));
         };
-        let read = tokio::time::timeout(BODY_PATIENCE, whole(body, told.lower() as usize));
+        let read = tokio::time::timeout(BODY_READ_TIMEOUT, read_body(body, size_hint.lower() as usize));
         let read = tokio::select! {
             read = read => read,
-            () = self.ended() => return Err(reply::rejection(Rejected::Stopped)),
+            () = self.wait_for_end() => return Err(reply::rejection(Rejected::Stopped)),
         };
         let body = match read {
             Ok(Ok(body)) => body,
-            Ok(Err(Cut::Long)) => return Err(long()),
-            Ok(Err(Cut::Broken)) => {
+            Ok(Err(BodyError::Long)) => return Err(too_long()),
+            Ok(Err(BodyError::Broken)) => {
                 return Err(reply::error(StatusCode::BAD_REQUEST, "the body could not be read"));
             }
-            Ok(Err(Cut::Stalled)) | Err(_) => {
+            Ok(Err(BodyError::Stalled)) | Err(_) => {
                 return Err(reply::error(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"));
             }
         };
         let path = head.uri.path_and_query().map_or_else(String::new, ToString::to_string);
-        Ok(Whole { came, path, headers: head.headers, body })
+        Ok(ReceivedRequest { received_at, path, headers: head.headers, body })
     }
 }
 
-/// Why a body was not read to its end.
-enum Cut {
+/// Reason why a body was not read to its end.
+enum BodyError {
     Long,
     Broken,
     Stalled,
 }
 
-/// Reads a body whole; one whose next piece does not come, or that grows too long, is given up.
-async fn whole(mut body: Incoming, length: usize) -> Result<Bytes, Cut> {
+/// Reads a complete body. Reading fails if the body stalls, breaks or exceeds the maximum size.
+async fn read_body(mut body: Incoming, length: usize) -> Result<Bytes, BodyError> {
     let mut bytes = BytesMut::with_capacity(length);
     loop {
-        match tokio::time::timeout(BODY_STALL, body.frame()).await {
-            Err(_) => return Err(Cut::Stalled),
+        match tokio::time::timeout(BODY_STALL_TIMEOUT, body.frame()).await {
+            Err(_) => return Err(BodyError::Stalled),
             Ok(None) => return Ok(bytes.freeze()),
-            Ok(Some(Err(_))) => return Err(Cut::Broken),
+            Ok(Some(Err(_))) => return Err(BodyError::Broken),
             Ok(Some(Ok(frame))) => {
                 let data = frame.data_ref().map_or(&[][..], |data| data);
-                if bytes.len() + data.len() > BODY_BYTES {
-                    return Err(Cut::Long);
+                if bytes.len() + data.len() > MAX_BODY_BYTES {
+                    return Err(BodyError::Long);
                 }
                 bytes.extend_from_slice(data);
             }
@@ -110,14 +116,14 @@
     }
 }
 
-/// A header's text.
-pub(super) fn header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, String> {
-    let text = |value: &'a HeaderValue| value.to_str().map_err(|_| format!("{name}: not text"));
-    headers.get(name).map(text).transpose().map(|value| value.map(str::trim))
+/// Text of a header, if the header is present.
+pub(super) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, String> {
+    let to_text = |value: &'a HeaderValue| value.to_str().map_err(|_| format!("{name}: not text"));
+    headers.get(name).map(to_text).transpose().map(|value| value.map(str::trim))
 }
 
-/// Reads a span such as `4800m` or `250u`, in microseconds.
-pub(super) fn span(text: &str) -> Option<Micros> {
+/// Parses a duration such as `4800m` (milliseconds) or `250u` (microseconds), in microseconds.
+pub(super) fn parse_duration(text: &str) -> Option<Micros> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let scale = match unit {
         "m" => 1_000.0,
@@ -128,10 +134,12 @@
     (number.is_finite() && (0.0..=1e12).contains(&number)).then_some((number * scale) as Micros)
 }
 
-/// A request's id: it becomes part of a path.
-pub(super) fn request_id(text: &str) -> Option<RequestId> {
-    let plain = |c: u8| c.is_ascii_alphanumeric() || b"-._~".contains(&c);
-    (!text.is_empty() && text.len() <= 128 && text.bytes().all(plain)).then(|| RequestId(Arc::from(text)))
+/// Parses a request id. Only characters that are safe in a path are allowed, because the id becomes part of
+/// one.
+pub(super) fn parse_request_id(text: &str) -> Option<RequestId> {
+    let is_path_safe = |c: u8| c.is_ascii_alphanumeric() || b"-._~".contains(&c);
+    (!text.is_empty() && text.len() <= 128 && text.bytes().all(is_path_safe))
+        .then(|| RequestId(Arc::from(text)))
 }
 
 #[cfg(test)]
@@ -151,11 +159,11 @@
     #[case("m", None)]
     #[case("", None)]
     #[case("5é", None)]
-    fn span_has_a_number_and_a_unit(#[case] text: &str, #[case] expected: Option<Micros>) {
-        assert_eq!(span(text), expected);
+    fn duration_has_a_number_and_a_unit(#[case] text: &str, #[case] expected: Option<Micros>) {
+        assert_eq!(parse_duration(text), expected);
     }
 
-    // The id becomes part of a path at an engine: nothing in it may change that path.
+    // The id becomes part of a path at an engine, so that no character of the id may change the path.
     #[rstest]
     #[case("9b1f03aa5c7e2d41", true)]
     #[case("5d3a91c4-338c-4494", true)]
@@ -164,7 +172,7 @@
     #[case("a?b", false)]
     #[case("a b", false)]
     #[case("%2e", false)]
-    fn id_is_plain(#[case] text: &str, #[case] good: bool) {
-        assert_eq!(request_id(text).is_some(), good);
+    fn request_id_has_only_path_safe_characters(#[case] text: &str, #[case] valid: bool) {
+        assert_eq!(parse_request_id(text).is_some(), valid);
     }
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -7,7 +7,7 @@
 mod reply;
 
 pub use inference::{Inference, Model};
-pub use intake::Bodies;
+pub use intake::BodyReader;
 pub use management::Management;
 pub use platform::Platform;
 
@@ -63,7 +63,7 @@
     }
 
     fn too_many(&self, request: &Request<Incoming>) -> Response<FrontBody> {
-        self.platform.turned_away(request.headers());
+        self.platform.count_refused_early(request.headers());
         reply::rejection(Rejected::Busy)
     }
 
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,6 +1,8 @@
-//! The platform's protocol: chat requests whose headers say what the module needs to know.
+//! The platform's protocol: chat requests whose headers carry the inputs of the decision module.
 
-use super::intake::{Bodies, TOKEN_CHARS, Whole, header, request_id, span};
+use super::intake::{
+    BodyReader, CHARS_PER_TOKEN, ReceivedRequest, header_text, parse_duration, parse_request_id,
+};
 use super::reply;
 use crate::config::{Names, index_of};
 use crate::gateway::{Fate, Gateway, Invariant, Submission, Ticket};
@@ -11,17 +13,17 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The platform's front.
+/// Front for the platform's protocol.
 pub struct Platform {
     gateway: Gateway<HttpEngines>,
     names: Names,
-    bodies: Rc<Bodies>,
+    body_reader: Rc<BodyReader>,
 }
 
 impl Platform {
-    /// A front of the gateway, with the names that clients call classes and tenants by.
-    pub fn new(gateway: Gateway<HttpEngines>, names: Names, bodies: Rc<Bodies>) -> Self {
-        Self { gateway, names, bodies }
+    /// Creates a front for the gateway, with the names of the classes and tenants in client requests.
+    pub fn new(gateway: Gateway<HttpEngines>, names: Names, body_reader: Rc<BodyReader>) -> Self {
+        Self { gateway, names, body_reader }
     }
 
     pub(super) fn can_serve(&self) -> bool {
@@ -29,21 +31,21 @@
     }
 
     fn class(&self, headers: &HeaderMap) -> Option<usize> {
-        index_of(&self.names.classes, header(headers, "req-kind").ok()??)
+        index_of(&self.names.classes, header_text(headers, "req-kind").ok()??)
     }
 
-    /// Counts a request that is refused before the core has seen it.
-    pub(super) fn turned_away(&self, headers: &HeaderMap) {
-        self.refused(self.class(headers));
+    /// Counts a request that is refused before it reaches the gateway's core.
+    pub(super) fn count_refused_early(&self, headers: &HeaderMap) {
+        self.count_refused(self.class(headers));
     }
 
-    fn refused(&self, class: Option<usize>) {
+    fn count_refused(&self, class: Option<usize>) {
         if let Some(class) = class {
             self.gateway.count(class, Fate::Refused);
         }
     }
 
-    /// Counts a client's connection that was closed.
+    /// Counts a closed client connection.
     pub(super) fn connection_closed(&self, closed: &ClosedConnection) {
         let (number, reason) = (closed.number, closed.reason.name());
         log::debug!("connection closed number={number} reason={reason}");
@@ -58,26 +60,26 @@
     /// Answers a chat request.
     pub(super) async fn chat(&self, request: Request<Incoming>) -> Response<FrontBody> {
         let class = self.class(request.headers());
-        match self.take(request).await {
+        match self.submit(request).await {
             Ok(ticket) => reply::respond(ticket.answer().await),
             Err(response) => {
                 if response.status() == StatusCode::SERVICE_UNAVAILABLE {
-                    self.refused(class);
+                    self.count_refused(class);
                 }
                 response
             }
         }
     }
 
-    /// Reads a request and hands it to the core; an answer at once if it does not come to that.
-    async fn take(&self, request: Request<Incoming>) -> Result<Ticket<HttpEngines>, Response<FrontBody>> {
-        let Whole { came, path, headers, body } = self.bodies.read(request).await?;
-        let wrong = |message: &str| reply::error(StatusCode::BAD_REQUEST, message);
-        check_chat(&body).map_err(wrong)?;
-        // A request that tells no deadline has its class's, by the settings as they are now.
-        let told = arrival(&headers, &self.names, &self.gateway.settings().classes, body.len());
-        let mut arrival = told.map_err(|message| wrong(&message))?;
-        arrival.expires_in = arrival.expires_in.saturating_sub(came.elapsed().as_micros() as Micros);
+    /// Reads a request and submits it to the core. Returns the error response if the request is not accepted.
+    async fn submit(&self, request: Request<Incoming>) -> Result<Ticket<HttpEngines>, Response<FrontBody>> {
+        let ReceivedRequest { received_at, path, headers, body } = self.body_reader.read(request).await?;
+        let bad_request = |message: &str| reply::error(StatusCode::BAD_REQUEST, message);
+        check_chat(&body).map_err(bad_request)?;
+        // A request without a deadline header gets the deadline of its class in the current settings.
+        let parsed = parse_arrival(&headers, &self.names, &self.gateway.settings().classes, body.len());
+        let mut arrival = parsed.map_err(|message| bad_request(&message))?;
+        arrival.expires_in = arrival.expires_in.saturating_sub(received_at.elapsed().as_micros() as Micros);
         let size = body.len();
         let idempotency_key = headers.get("idempotency-key").cloned();
         let job = Job { path, body, idempotency_key, manner: Manner::Staged };
@@ -99,32 +101,39 @@
     }
 }
 
-/// What the headers of a chat request tell.
-fn arrival(headers: &HeaderMap, names: &Names, classes: &[Class], body: usize) -> Result<Arrival, String> {
-    let required = |name: &str| header(headers, name)?.ok_or_else(|| format!("{name}: missing"));
-    let id = request_id(required("req-id")?).ok_or("req-id: not an id")?;
+/// Parses the headers of a chat request whose body has `body_bytes` bytes.
+fn parse_arrival(
+    headers: &HeaderMap,
+    names: &Names,
+    classes: &[Class],
+    body_bytes: usize,
+) -> Result<Arrival, String> {
+    let required = |name: &str| header_text(headers, name)?.ok_or_else(|| format!("{name}: missing"));
+    let id = parse_request_id(required("req-id")?).ok_or("req-id: not an id")?;
     let class = index_of(&names.classes, required("req-kind")?).ok_or("req-kind: no such class")?;
-    let tenant = match header(headers, "req-owner")? {
+    let tenant = match header_text(headers, "req-owner")? {
         None if names.tenants.is_empty() => 0,
         None => return Err("req-owner: missing".into()),
         Some(name) => index_of(&names.tenants, name).ok_or("req-owner: no such tenant")?,
     };
-    let expires_in = match header(headers, "req-deadline")? {
+    let expires_in = match header_text(headers, "req-deadline")? {
         None => classes[class].deadline,
-        Some(text) => span(text).ok_or("req-deadline: not a span")?,
+        Some(text) => parse_duration(text).ok_or("req-deadline: not a span")?,
     };
     let mut arrival = Arrival {
         id,
         class,
         tenant,
-        session: header(headers, "req-key")?.map(Arc::from),
-        hint: header(headers, "req-cost")?.and_then(|hint| hint.parse::<f64>().ok()).map(|h| h as Micros),
-        prompt_tokens: body as f64 / TOKEN_CHARS as f64,
+        session: header_text(headers, "req-key")?.map(Arc::from),
+        hint: header_text(headers, "req-cost")?
+            .and_then(|hint| hint.parse::<f64>().ok())
+            .map(|h| h as Micros),
+        prompt_tokens: body_bytes as f64 / CHARS_PER_TOKEN as f64,
         expires_in,
-        resumed: header(headers, "req-retry")? == Some("again"),
+        resumed: header_text(headers, "req-retry")? == Some("again"),
         ..Arrival::default()
     };
-    for part in header(headers, "req-extra")?.unwrap_or("").split(',').filter(|part| !part.is_empty()) {
+    for part in header_text(headers, "req-extra")?.unwrap_or("").split(',').filter(|part| !part.is_empty()) {
         let (name, value) = part.split_once('=').ok_or("req-extra: not a list of pairs")?;
         let tokens = || {
             let tokens = value.trim().parse::<f64>().ok().filter(|t| (0.0..=1e9).contains(t));
@@ -147,10 +156,10 @@
     use hyper::header::HeaderValue;
     use rstest::rstest;
 
-    fn told(extra: &[(&'static str, &'static str)]) -> Result<Arrival, String> {
-        let plain = [("req-id", "a"), ("req-kind", "lookup"), ("req-owner", "desk")];
+    fn parse_with(extra: &[(&'static str, &'static str)]) -> Result<Arrival, String> {
+        let required = [("req-id", "a"), ("req-kind", "lookup"), ("req-owner", "desk")];
         let mut headers = HeaderMap::new();
-        for (name, value) in plain.iter().chain(extra) {
+        for (name, value) in required.iter().chain(extra) {
             headers.insert(*name, HeaderValue::from_static(value));
         }
         let names = Names {
@@ -158,30 +167,32 @@
             tenants: vec!["desk".into()],
             ..Names::default()
         };
-        arrival(&headers, &names, &[Class::default(), Class { deadline: 7, ..Class::default() }], 400)
+        parse_arrival(&headers, &names, &[Class::default(), Class { deadline: 7, ..Class::default() }], 400)
     }
 
     #[test]
-    fn headers_tell_what_the_module_needs() {
+    fn headers_are_parsed() {
         let extra = "prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800,new=1";
-        let all = [
+        let optional = [
             ("req-key", "s"),
             ("req-deadline", "4800m"),
             ("req-cost", "900"),
             ("req-extra", extra),
             ("req-retry", "again"),
         ];
-        let arrival = told(&all).expect("lawful");
+        let arrival = parse_with(&optional).expect("the headers are valid");
         assert_eq!((arrival.class, arrival.tenant, arrival.expires_in), (1, 0, 4_800_000));
         assert_eq!((arrival.session.as_deref(), arrival.prefix.as_deref()), (Some("s"), Some("5c0f")));
         assert_eq!((arrival.prompt_tokens, arrival.prefix_tokens), (5120.0, 2048.0));
         assert_eq!((arrival.max_output_tokens, arrival.hint), (800.0, Some(900)));
-        assert!(arrival.resumed && !told(&[("req-retry", "1")]).expect("lawful").resumed);
-        let bare = told(&[]).expect("lawful");
+        assert!(
+            arrival.resumed && !parse_with(&[("req-retry", "1")]).expect("the headers are valid").resumed
+        );
+        let defaulted = parse_with(&[]).expect("the headers are valid");
         assert_eq!(
-            (bare.expires_in, bare.prompt_tokens),
+            (defaulted.expires_in, defaulted.prompt_tokens),
             (7, 100.0),
-            "the class's deadline, the body's length"
+            "the deadline comes from the class and the prompt length from the body"
         );
     }
 
@@ -192,7 +203,7 @@
     #[case(("req-extra", "prompt_len"))]
     #[case(("req-extra", "prompt_len=many"))]
     #[case(("req-extra", "max_out=NaN"))]
-    fn header_that_makes_no_sense_is_refused(#[case] header: (&'static str, &'static str)) {
-        assert!(told(&[header]).is_err());
+    fn invalid_header_is_rejected(#[case] header: (&'static str, &'static str)) {
+        assert!(parse_with(&[header]).is_err());
     }
 }
