--- a/src/front/management.rs
+++ b/src/front/management.rs
@@ -1,5 +1,4 @@
-//! The operators' front: whether this process takes clients, its figures, engines in and out by hand, and
-//! the drain of the gateway.
+//! Front for operators: readiness of this process, metrics, withholding of engines, and drain of the gateway.
 
 use super::reply;
 use crate::config::Shared;
@@ -15,55 +14,55 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long after a drain's start clients' connections are closed: the front in front of the gateways asks
-/// whether this one is ready, and needs a moment to send new ones elsewhere.
-const NOTICED: Duration = Duration::from_millis(400);
+/// Delay between the start of a drain and the closing of client connections. The load balancer in front of
+/// the gateways polls readiness and needs this time to send new connections elsewhere.
+const DRAIN_NOTICE_DELAY: Duration = Duration::from_millis(400);
 
-/// The operators' front.
+/// Front for operators.
 pub struct Management {
-    /// The chat gateway.
+    /// Handle of the chat driver.
     pub gateway: Gateway<HttpEngines>,
-    /// The names of its classes.
+    /// Names of the request classes.
     pub classes: Vec<String>,
-    /// Attempts that were written whole.
+    /// Number of attempts that were completely written to an engine.
     pub sent_attempts: Rc<Cell<u64>>,
-    /// Where orders are written down.
+    /// State shared with the other processes of the gateway, which persists operator commands.
     pub shared: Shared,
-    /// How far a drain or a stop has come.
+    /// Current phase of a drain or a planned stop.
     pub phase: Rc<watch::Sender<Phase>>,
 }
 
-/// A call as operators make it.
+/// A call of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Order {
+enum OperatorCall {
     Readiness,
     Stats,
-    Engine { out: bool },
+    SetWithheld { withheld: bool },
     Drain { start: bool },
 }
 
-/// What a path and its method ask for, or which method the path wants.
-fn order(method: &Method, path: &str) -> Result<Order, Option<&'static str>> {
-    let (wanted, order) = match path {
-        "/ops/readiness" => ("GET", Order::Readiness),
-        "/ops/stats" => ("GET", Order::Stats),
-        "/ops/engines/down" => ("POST", Order::Engine { out: true }),
-        "/ops/engines/up" => ("POST", Order::Engine { out: false }),
-        "/ops/drain/start" => ("POST", Order::Drain { start: true }),
-        "/ops/drain/stop" => ("POST", Order::Drain { start: false }),
+/// Parses a method and path. The error holds the method that the path supports, if the path exists.
+fn parse_call(method: &Method, path: &str) -> Result<OperatorCall, Option<&'static str>> {
+    let (supported_method, call) = match path {
+        "/ops/readiness" => ("GET", OperatorCall::Readiness),
+        "/ops/stats" => ("GET", OperatorCall::Stats),
+        "/ops/engines/down" => ("POST", OperatorCall::SetWithheld { withheld: true }),
+        "/ops/engines/up" => ("POST", OperatorCall::SetWithheld { withheld: false }),
+        "/ops/drain/start" => ("POST", OperatorCall::Drain { start: true }),
+        "/ops/drain/stop" => ("POST", OperatorCall::Drain { start: false }),
         _ => return Err(None),
     };
-    if method.as_str() == wanted { Ok(order) } else { Err(Some(wanted)) }
+    if method.as_str() == supported_method { Ok(call) } else { Err(Some(supported_method)) }
 }
 
-/// The engine that a query names.
-fn host(query: Option<&str>) -> Option<String> {
+/// Name of the engine in a query.
+fn queried_engine(query: Option<&str>) -> Option<String> {
     let mut pairs = form_urlencoded::parse(query?.as_bytes());
     pairs.find(|(name, _)| name == "host").map(|(_, id)| id.into_owned()).filter(|id| !id.is_empty())
 }
 
-/// Leads on to the next phase, where there is one from the phase as it is; whether there was.
-fn lead_on(phase: &watch::Sender<Phase>, next: impl Fn(Phase) -> Option<Phase>) -> bool {
+/// Advances the phase to the next one, if the current phase has one. Returns true if the phase changed.
+fn advance_phase(phase: &watch::Sender<Phase>, next: impl Fn(Phase) -> Option<Phase>) -> bool {
     phase.send_if_modified(|phase| {
         let next = next(*phase);
         *phase = next.unwrap_or(*phase);
@@ -71,23 +70,23 @@
     })
 }
 
-fn done() -> Response<FrontBody> {
+fn done_response() -> Response<FrontBody> {
     reply::json(StatusCode::OK, Bytes::from_static(b"{\"done\":true}"))
 }
 
 impl Management {
     fn readiness(&self) -> Response<FrontBody> {
         if !self.phase.borrow().is_stop() && self.shared.is_claimed() && self.gateway.can_serve() {
-            done()
+            done_response()
         } else {
             reply::error(StatusCode::SERVICE_UNAVAILABLE, "takes no clients")
         }
     }
 
     fn stats(&self) -> Response<FrontBody> {
-        let figures = self.gateway.figures();
+        let statistics = self.gateway.figures();
         let mut text = String::new();
-        let mut line = |name: &str, kind: &str, values: &[(String, u64)]| {
+        let mut write_metric = |name: &str, kind: &str, values: &[(String, u64)]| {
             // Writing to a string cannot fail.
             let _ = writeln!(text, "# TYPE {PREFIX}_{name} {kind}");
             for (labels, value) in values {
@@ -95,7 +94,7 @@
             }
         };
         let mut handled = Vec::new();
-        for (class, counts) in self.classes.iter().zip(&figures.handled) {
+        for (class, counts) in self.classes.iter().zip(&statistics.handled) {
             let class = class.replace('\\', "\\\\").replace('"', "\\\"");
             let counts =
                 [("passed", counts.served), ("dropped", counts.refused), ("bad_gateway", counts.failed)];
@@ -103,35 +102,35 @@
                 handled.push((format!("{{category=\"{class}\",outcome=\"{outcome}\"}}"), count));
             }
         }
-        let plain = |value: u64| [(String::new(), value)];
-        line("handled", "counter", &handled);
-        line("upstream_tries", "counter", &plain(self.sent_attempts.get()));
-        line("in_progress", "gauge", &plain(figures.open as u64));
-        line("known_engines", "gauge", &plain(figures.listed as u64));
-        line("skipped_engines", "gauge", &plain(figures.avoided as u64));
+        let unlabelled = |value: u64| [(String::new(), value)];
+        write_metric("handled", "counter", &handled);
+        write_metric("upstream_tries", "counter", &unlabelled(self.sent_attempts.get()));
+        write_metric("in_progress", "gauge", &unlabelled(statistics.open as u64));
+        write_metric("known_engines", "gauge", &unlabelled(statistics.listed as u64));
+        write_metric("skipped_engines", "gauge", &unlabelled(statistics.avoided as u64));
         text += &self.gateway.metrics().text();
-        reply::whole(StatusCode::OK, "text/plain; version=0.0.4", text.into())
+        reply::complete(StatusCode::OK, "text/plain; version=0.0.4", text.into())
     }
 
-    fn engine(&self, id: Option<&str>, out: bool) -> Response<FrontBody> {
+    fn set_withheld(&self, id: Option<&str>, withheld: bool) -> Response<FrontBody> {
         let Some(id) = id else { return reply::error(StatusCode::BAD_REQUEST, "host: missing") };
         if !self.gateway.has_listed(id) {
             return reply::error(StatusCode::NOT_FOUND, "no engine of that id was listed");
         }
-        if let Err(error) = self.shared.withhold(id, out) {
-            log::error!("order not written down engine={id} out={out} {error}");
+        if let Err(error) = self.shared.withhold(id, withheld) {
+            log::error!("operator command not persisted uid={id} withheld={withheld} error={error}");
             return reply::error(StatusCode::INTERNAL_SERVER_ERROR, "the order could not be written down");
         }
-        log::info!("engine by hand uid={id} out={out}");
+        log::info!("operator command uid={id} withheld={withheld}");
         let news = News::Withheld(self.shared.withheld());
         match self.gateway.tell(Change { revision: 0, news }) {
-            Ok(()) => done(),
+            Ok(()) => done_response(),
             Err(rejected) => reply::rejection(rejected),
         }
     }
 
     fn drain(&self, start: bool) -> Response<FrontBody> {
-        let changed = lead_on(&self.phase, |phase| match phase {
+        let changed = advance_phase(&self.phase, |phase| match phase {
             Phase::Serving if start => Some(Phase::Draining),
             Phase::Draining | Phase::Away if !start => Some(Phase::Serving),
             _ => None,
@@ -142,25 +141,27 @@
         if changed && start {
             let phase = self.phase.clone();
             tokio::task::spawn_local(async move {
-                tokio::time::sleep(NOTICED).await;
-                lead_on(&phase, |phase| (phase == Phase::Draining).then_some(Phase::Away));
+                tokio::time::sleep(DRAIN_NOTICE_DELAY).await;
+                advance_phase(&phase, |phase| (phase == Phase::Draining).then_some(Phase::Away));
             });
         }
         if start && self.phase.borrow().is_stop() {
             return reply::error(StatusCode::CONFLICT, "the gateway stops");
         }
-        done()
+        done_response()
     }
 }
 
 impl Front for Management {
     async fn handle(&self, request: Request<Incoming>) -> Response<FrontBody> {
         let uri = request.uri();
-        let mut response = match order(request.method(), uri.path()) {
-            Ok(Order::Readiness) => self.readiness(),
-            Ok(Order::Stats) => self.stats(),
-            Ok(Order::Engine { out }) => self.engine(host(uri.query()).as_deref(), out),
-            Ok(Order::Drain { start }) => self.drain(start),
+        let mut response = match parse_call(request.method(), uri.path()) {
+            Ok(OperatorCall::Readiness) => self.readiness(),
+            Ok(OperatorCall::Stats) => self.stats(),
+            Ok(OperatorCall::SetWithheld { withheld }) => {
+                self.set_withheld(queried_engine(uri.query()).as_deref(), withheld)
+            }
+            Ok(OperatorCall::Drain { start }) => self.drain(start),
             Err(Some(allowed)) => reply::not_allowed(allowed),
             Err(None) => reply::error(StatusCode::NOT_FOUND, "no such path"),
         };
@@ -173,7 +174,7 @@
     }
 
     fn contradicting(&self) -> Response<FrontBody> {
-        reply::contradicting()
+        reply::contradicting_lengths()
     }
 }
 
@@ -183,26 +184,26 @@
     use rstest::rstest;
 
     #[rstest]
-    #[case::plain(Some("host=s-5be2a07c"), Some("s-5be2a07c"))]
-    #[case::among_others(Some("a=b&host=s%2D1&c"), Some("s-1"))]
-    #[case::empty(Some("host="), None)]
-    #[case::another_name(Some("uid=s-1"), None)]
-    #[case::none(None, None)]
+    #[case::single_parameter(Some("host=s-5be2a07c"), Some("s-5be2a07c"))]
+    #[case::several_parameters(Some("a=b&host=s%2D1&c"), Some("s-1"))]
+    #[case::empty_value(Some("host="), None)]
+    #[case::other_parameter(Some("uid=s-1"), None)]
+    #[case::no_query(None, None)]
     fn query_names_an_engine(#[case] query: Option<&str>, #[case] expected: Option<&str>) {
-        assert_eq!(host(query).as_deref(), expected);
+        assert_eq!(queried_engine(query).as_deref(), expected);
     }
 
     #[rstest]
-    #[case(Method::GET, "/ops/readiness", Ok(Order::Readiness))]
+    #[case(Method::GET, "/ops/readiness", Ok(OperatorCall::Readiness))]
     #[case(Method::POST, "/ops/stats", Err(Some("GET")))]
-    #[case(Method::POST, "/ops/engines/up", Ok(Order::Engine { out: false }))]
+    #[case(Method::POST, "/ops/engines/up", Ok(OperatorCall::SetWithheld { withheld: false }))]
     #[case(Method::GET, "/ops/drain/start", Err(Some("POST")))]
     #[case(Method::GET, "/v1/chat/completions", Err(None))]
-    fn call_is_told_by_path_and_method(
+    fn call_is_determined_by_path_and_method(
         #[case] method: Method,
         #[case] path: &str,
-        #[case] expected: Result<Order, Option<&'static str>>,
+        #[case] expected: Result<OperatorCall, Option<&'static str>>,
     ) {
-        assert_eq!(order(&method, path), expected);
+        assert_eq!(parse_call(&method, path), expected);
     }
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! Fronts: what clients speak, turned into what the core takes in, and its answers turned back.
+//! Protocol front ends: they convert client requests to submissions for the core and its answers to
+//! responses.
 
 mod inference;
 mod intake;
@@ -19,21 +20,21 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::sync::watch;
 
-/// All that one listener answers, by path.
+/// The fronts of one listener, selected by path.
 pub struct Fronts {
-    /// Chat, by the platform's protocol.
+    /// Front for chat in the platform's protocol.
     pub platform: Platform,
-    /// Embeddings and rerank, where an operator has set them up.
+    /// Front for embeddings and rerank, if configured.
     pub inference: Option<Inference>,
-    /// How far a planned stop has come.
+    /// Current phase of a drain or a planned stop.
     pub phase: watch::Receiver<Phase>,
-    /// What operators have ordered before has to be known first.
+    /// State shared with the gateway's other processes. The operator commands must be loaded before serving.
     pub shared: Shared,
 }
 
 impl Fronts {
     fn ready(&self) -> Response<FrontBody> {
-        // Chat alone decides: a model of the other front that is down is no reason to turn chat away.
+        // Only chat determines readiness: a failed embeddings or rerank model must not stop chat traffic.
         if *self.phase.borrow() == Phase::Serving && self.shared.is_loaded() && self.platform.can_serve() {
             reply::json(StatusCode::OK, Bytes::from_static(b"{\"ready\":true}"))
         } else {
@@ -46,29 +47,29 @@
     async fn handle(&self, request: Request<Incoming>) -> Response<FrontBody> {
         let path = request.uri().path();
         let inference = self.inference.as_ref().and_then(|front| Some((front, Inference::api(path)?)));
-        let wanted = match path {
+        let supported_method = match path {
             "/ready" => "GET",
             "/v1/chat/completions" => "POST",
             _ if inference.is_some() => "POST",
             _ => return reply::error(StatusCode::NOT_FOUND, "no such path"),
         };
-        if request.method().as_str() != wanted {
-            return reply::not_allowed(wanted);
+        if request.method().as_str() != supported_method {
+            return reply::not_allowed(supported_method);
         }
         match inference {
-            Some((front, api)) => reply::whole_seconds(front.call(api, request).await),
-            None if wanted == "GET" => self.ready(),
+            Some((front, api)) => reply::round_up_retry_after(front.call(api, request).await),
+            None if supported_method == "GET" => self.ready(),
             None => self.platform.chat(request).await,
         }
     }
 
     fn too_many(&self, request: &Request<Incoming>) -> Response<FrontBody> {
-        self.platform.count_refused_early(request.headers());
+        self.platform.count_refused_before_submission(request.headers());
         reply::rejection(Rejected::Busy)
     }
 
     fn contradicting(&self) -> Response<FrontBody> {
-        reply::contradicting()
+        reply::contradicting_lengths()
     }
 
     fn closed(&self, closed: &ClosedConnection) {
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -35,7 +35,7 @@
     }
 
     /// Counts a request that is refused before it reaches the gateway's core.
-    pub(super) fn count_refused_early(&self, headers: &HeaderMap) {
+    pub(super) fn count_refused_before_submission(&self, headers: &HeaderMap) {
         self.count_refused(self.class(headers));
     }
 
--- a/src/front/reply.rs
+++ b/src/front/reply.rs
@@ -1,4 +1,4 @@
-//! Answers in the API's words.
+//! Responses and error bodies in the format of the API.
 
 use crate::gateway::{Answer, Rejected};
 use crate::interface::Micros;
@@ -7,47 +7,48 @@
 use hyper::header::{ALLOW, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// When to come back after the gateway itself had no room.
+/// Retry delay sent to clients when the gateway has no capacity for a request, in microseconds.
 const BUSY_RETRY: Micros = 500_000;
 
-/// An answer in one piece, of that content type.
-pub(super) fn whole(status: StatusCode, kind: &'static str, body: Bytes) -> Response<FrontBody> {
+/// Response with a complete body of the given content type.
+pub(super) fn complete(status: StatusCode, content_type: &'static str, body: Bytes) -> Response<FrontBody> {
     let mut response = Response::new(FrontBody::Whole(Some(body)));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
-/// An answer in JSON.
+/// Response with a JSON body.
 pub(super) fn json(status: StatusCode, body: Bytes) -> Response<FrontBody> {
-    whole(status, "application/json", body)
+    complete(status, "application/json", body)
 }
 
-/// An error in the API's error body.
+/// Error response with the error body of the API.
 pub(super) fn error(status: StatusCode, message: &str) -> Response<FrontBody> {
-    let kind = match status {
+    let error_type = match status {
         StatusCode::TOO_MANY_REQUESTS => "rate_limit_error",
         status if status.is_client_error() => "invalid_request_error",
         _ => "server_error",
     };
     let code = status.canonical_reason().unwrap_or("error").to_ascii_lowercase().replace(' ', "_");
-    let body = serde_json::json!({"error": {"message": message, "type": kind, "param": null, "code": code}});
+    let body =
+        serde_json::json!({"error": {"message": message, "type": error_type, "param": null, "code": code}});
     json(status, body.to_string().into())
 }
 
-/// The answer to a method that a path does not take, with the one that it does.
+/// Response to a method that the path does not support, with the supported method.
 pub(super) fn not_allowed(allowed: &'static str) -> Response<FrontBody> {
     let mut response = error(StatusCode::METHOD_NOT_ALLOWED, "no such method here");
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
     response
 }
 
-/// The answer to a head that gives two lengths.
-pub(super) fn contradicting() -> Response<FrontBody> {
+/// Response to a head with both a transfer encoding and a content length.
+pub(super) fn contradicting_lengths() -> Response<FrontBody> {
     error(StatusCode::BAD_REQUEST, "both transfer-encoding and content-length")
 }
 
-/// A refusal, with when to come back.
+/// Refusal with the time after which the client may retry.
 pub(super) fn refusal(status: StatusCode, message: &str, retry_after: Micros) -> Response<FrontBody> {
     let mut response = error(status, message);
     if retry_after > 0 {
@@ -59,8 +60,8 @@
     response
 }
 
-/// The same response with its time to come back in whole seconds, as clients of a usual API expect.
-pub(super) fn whole_seconds(mut response: Response<FrontBody>) -> Response<FrontBody> {
+/// Rounds the retry delay of a response up to whole seconds, as clients of common APIs expect.
+pub(super) fn round_up_retry_after(mut response: Response<FrontBody>) -> Response<FrontBody> {
     if let Some(value) = response.headers_mut().get_mut(RETRY_AFTER) {
         let seconds = value.to_str().ok().and_then(|text| text.parse::<f64>().ok()).unwrap_or(1.0);
         *value = HeaderValue::from(seconds.ceil() as u64);
@@ -68,7 +69,7 @@
     response
 }
 
-/// The answer to a request that was not taken.
+/// Response to a request that the gateway did not accept.
 pub(super) fn rejection(rejected: Rejected) -> Response<FrontBody> {
     match rejected {
         Rejected::Duplicate => error(StatusCode::CONFLICT, "a request of this id is open"),
@@ -80,13 +81,13 @@
     }
 }
 
-/// The core's answer as a response.
+/// Converts the core's answer to a response.
 pub(super) fn respond(answer: Answer<HttpEvents>) -> Response<FrontBody> {
     match answer {
         Answer::Events(relay) => {
             let mut response = Response::new(FrontBody::Relay(Box::new(relay)));
-            let kind = HeaderValue::from_static("text/event-stream");
-            response.headers_mut().insert(CONTENT_TYPE, kind);
+            let content_type = HeaderValue::from_static("text/event-stream");
+            response.headers_mut().insert(CONTENT_TYPE, content_type);
             response
         }
         Answer::Whole(body) => json(StatusCode::OK, body),
