--- a/src/bin/meadowlug-benchlink/wire.rs
+++ b/src/bin/meadowlug-benchlink/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's text wire: lines to events and settings, actions to lines.
+//! Text protocol of the simulator: parses lines into events and settings, and formats actions as lines.
 
 use meadowlug::interface::*;
 use std::collections::BTreeMap;
@@ -7,46 +7,46 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// What is wrong with a line: its message, the field, and how.
+/// Error of a malformed line: the name of the message, the field, and the problem.
 #[derive(Debug, PartialEq)]
 pub struct Malformed {
     message: String,
     field: String,
-    what: &'static str,
+    problem: &'static str,
 }
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "malformed {}: field {}: {}", self.message, self.field, self.what)
+        write!(f, "malformed {}: field {}: {}", self.message, self.field, self.problem)
     }
 }
 
-/// One line, split into its message and its fields.
+/// A line, split into the name of its message and its fields.
 pub struct Line<'a> {
-    /// The message's name.
+    /// Name of the message.
     pub message: &'a str,
     fields: BTreeMap<&'a str, &'a str>,
 }
 
 impl<'a> Line<'a> {
-    /// Splits a line; parts without `=` are passed over.
+    /// Splits a line. Parts without `=` are ignored.
     pub fn split(line: &'a str) -> Self {
         let mut parts = line.split(' ');
         let message = parts.next().unwrap_or("");
         Self { message, fields: parts.filter_map(|part| part.split_once('=')).collect() }
     }
 
-    fn malformed(&self, field: &str, what: &'static str) -> Malformed {
-        Malformed { message: self.message.into(), field: field.into(), what }
+    fn malformed(&self, field: &str, problem: &'static str) -> Malformed {
+        Malformed { message: self.message.into(), field: field.into(), problem }
     }
 
-    /// A field that may be absent.
+    /// Parses a field that may be absent.
     pub fn optional<T: FromStr>(&self, field: &str) -> Result<Option<T>, Malformed> {
         let parse = |text: &&str| text.parse().map_err(|_| self.malformed(field, "not a value of its type"));
         self.fields.get(field).map(parse).transpose()
     }
 
-    /// A field that must be there.
+    /// Parses a field that must be present.
     pub fn required<T: FromStr>(&self, field: &str) -> Result<T, Malformed> {
         self.optional(field)?.ok_or_else(|| self.malformed(field, "missing"))
     }
@@ -58,7 +58,8 @@
         }
     }
 
-    /// A time or span in milliseconds, as microseconds; below zero counts as zero.
+    /// Parses a time or duration in milliseconds and converts it to microseconds. Negative values count as
+    /// zero.
     pub fn time(&self, field: &str) -> Result<Option<Micros>, Malformed> {
         Ok(self.number(field)?.map(to_micros))
     }
@@ -92,22 +93,25 @@
     (milliseconds.max(0.0) * 1000.0).round() as Micros
 }
 
-/// Which place of a load report holds what.
+/// Indices of the values in a load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReportFields {
     memory_share: Option<usize>,
     queued_kilotokens: Option<usize>,
 }
 
-fn load(line: &Line, fields: ReportFields) -> Result<Load, Malformed> {
+fn parse_load(line: &Line, fields: ReportFields) -> Result<Load, Malformed> {
     let values: Vec<f64> = line.list("feedback")?;
-    let at = |place: Option<usize>| {
-        place.and_then(|i| values.get(i)).copied().filter(|v| v.is_finite() && *v >= 0.0)
+    let valid_value = |index: Option<usize>| {
+        index.and_then(|i| values.get(i)).copied().filter(|v| v.is_finite() && *v >= 0.0)
     };
-    Ok(Load { memory_share: at(fields.memory_share), queued_kilotokens: at(fields.queued_kilotokens) })
+    Ok(Load {
+        memory_share: valid_value(fields.memory_share),
+        queued_kilotokens: valid_value(fields.queued_kilotokens),
+    })
 }
 
-fn status(line: &Line) -> Result<Status, Malformed> {
+fn parse_status(line: &Line) -> Result<Status, Malformed> {
     Ok(match line.required::<String>("stateCode")?.as_str() {
         "GOOD" => Status::Served,
         "prefilled" => Status::Read,
@@ -118,12 +122,12 @@
         "RST" => Status::Reset,
         "CXL" => Status::Cancelled,
         "NOP" => Status::Moot,
-        _ => return Err(line.malformed("stateCode", "no known outcome")),
+        _ => return Err(line.malformed("stateCode", "unknown outcome")),
     })
 }
 
-/// Reads one entry of a roster.
-pub fn entry(line: &Line) -> Result<Entry, Malformed> {
+/// Parses one entry of a roster.
+pub fn parse_entry(line: &Line) -> Result<Entry, Malformed> {
     Ok(Entry {
         server: line.server()?,
         zone: line.optional("az")?.unwrap_or(0),
@@ -133,25 +137,25 @@
             "ready" => Condition::Ready,
             "draining" => Condition::Draining,
             "gone" => Condition::Gone,
-            _ => return Err(line.malformed("condition", "no known condition")),
+            _ => return Err(line.malformed("condition", "unknown condition")),
         },
         started_at: line.time("startTimeMs")?.unwrap_or(0),
     })
 }
 
-/// Reads a roster event's head; its entries follow on lines of their own.
-pub fn roster_form(line: &Line) -> Result<(RosterForm, usize), Malformed> {
+/// Parses the first line of a roster event, whose entries follow on separate lines.
+pub fn parse_roster_form(line: &Line) -> Result<(RosterForm, usize), Malformed> {
     let form = match line.required::<String>("form")?.as_str() {
         "delta" => RosterForm::Delta,
         "full" | "cached" => RosterForm::Full,
         "failed" => RosterForm::Failed,
-        _ => return Err(line.malformed("form", "no known form")),
+        _ => return Err(line.malformed("form", "unknown form")),
     };
     Ok((form, line.optional("rows")?.unwrap_or(0)))
 }
 
-/// Reads an event other than a roster's; `None` for one that is not known.
-pub fn event(line: &Line, fields: ReportFields) -> Result<Option<Event>, Malformed> {
+/// Parses an event other than a roster event. Returns `None` for an unknown message.
+pub fn parse_event(line: &Line, fields: ReportFields) -> Result<Option<Event>, Malformed> {
     Ok(Some(match line.message {
         "JOB_IN" => Event::Request(Arrival {
             id: line.request()?,
@@ -170,14 +174,14 @@
         "DONE" => Event::Outcome(Outcome {
             id: line.request()?,
             attempt: line.required("n")?,
-            status: status(line)?,
+            status: parse_status(line)?,
             finished: line.flag("finished")?,
             note: line.number("detail")?.unwrap_or(0.0),
-            load: load(line, fields)?,
+            load: parse_load(line, fields)?,
         }),
         "SAMPLED" => {
-            let told = line.required::<String>("stateCode")? == "GOOD";
-            let load = told.then(|| load(line, fields)).transpose()?;
+            let succeeded = line.required::<String>("stateCode")? == "GOOD";
+            let load = succeeded.then(|| parse_load(line, fields)).transpose()?;
             Event::Probed { server: line.server()?, load: load.unwrap_or_default() }
         }
         "ABANDONED" => Event::Abandoned { id: line.request()? },
@@ -189,110 +193,113 @@
     }))
 }
 
-fn group(line: &Line, field: &str) -> Result<Group, Malformed> {
+fn parse_group(line: &Line, field: &str) -> Result<Group, Malformed> {
     match line.optional::<String>(field)?.as_deref() {
         None | Some("all") => Ok(Group::All),
         Some("zone") => Ok(Group::Zone),
         Some("cell") => Ok(Group::Cell),
-        Some(_) => Err(line.malformed(field, "no known group")),
+        Some(_) => Err(line.malformed(field, "unknown group")),
     }
 }
 
-fn class(line: &Line, at: usize) -> Result<Class, Malformed> {
-    let key = |name: &str| format!("categories.{at}.{name}");
-    let each = |name: &str| Ok(line.list::<f64>(name)?.get(at).copied().unwrap_or(0.0));
+fn parse_class(line: &Line, index: usize) -> Result<Class, Malformed> {
+    let key = |name: &str| format!("categories.{index}.{name}");
+    let value_or_zero = |name: &str| Ok(line.list::<f64>(name)?.get(index).copied().unwrap_or(0.0));
     let effect = match line.required::<String>(&key("effect"))?.as_str() {
         "safe" => Effect::Safe,
         "unsafe" => Effect::Unsafe,
         "keyed" => Effect::Keyed {
-            group: group(line, &key("group"))?,
+            group: parse_group(line, &key("group"))?,
             window: line.time(&key("windowMs"))?.unwrap_or(0),
         },
-        _ => return Err(line.malformed(&key("effect"), "no known effect")),
+        _ => return Err(line.malformed(&key("effect"), "unknown effect")),
     };
-    let needed = |name: &str| line.time(&key(name))?.ok_or_else(|| line.malformed(&key(name), "missing"));
+    let required_time =
+        |name: &str| line.time(&key(name))?.ok_or_else(|| line.malformed(&key(name), "missing"));
     Ok(Class {
-        aim: needed("objectiveMs")?,
-        aim_per_1000: each("extra.aimUsPer1000PromptTokens")? as Micros,
-        deadline: needed("hardLimitMs")?,
-        token_aim: to_micros(each("extra.tokenAimMs")?),
+        aim: required_time("objectiveMs")?,
+        aim_per_1000: value_or_zero("extra.aimUsPer1000PromptTokens")? as Micros,
+        deadline: required_time("hardLimitMs")?,
+        token_aim: to_micros(value_or_zero("extra.tokenAimMs")?),
         effect,
     })
 }
 
-/// Reads an instance's settings and seed.
-pub fn settings(line: &Line) -> Result<(Settings, u64, ReportFields), Malformed> {
-    let plain = Settings::default();
+/// Parses the settings and seed of an instance, and the indices of the values in its load reports.
+pub fn parse_settings(line: &Line) -> Result<(Settings, u64, ReportFields), Malformed> {
+    let defaults = Settings::default();
     let roles = line.list::<String>("extra.roleByKind")?;
     let role = |name: &String| match name.as_str() {
         "read" => Ok(Role::Read),
         "write" => Ok(Role::Write),
         "both" => Ok(Role::Both),
-        _ => Err(line.malformed("extra.roleByKind", "no known role")),
+        _ => Err(line.malformed("extra.roleByKind", "unknown role")),
     };
-    let count = line.optional("categories.count")?.unwrap_or(0);
-    let tenants = line.optional("projects.count")?.unwrap_or(0);
-    let tenant = |i| Ok(line.number(&format!("projects.{i}.quotaPerS"))?.unwrap_or(0.0));
-    let time = |field: &str, or: Micros| Ok(line.time(field)?.unwrap_or(or));
+    let class_count = line.optional("categories.count")?.unwrap_or(0);
+    let tenant_count = line.optional("projects.count")?.unwrap_or(0);
+    let tenant_rate = |i| Ok(line.number(&format!("projects.{i}.quotaPerS"))?.unwrap_or(0.0));
+    let time_or = |field: &str, default: Micros| Ok(line.time(field)?.unwrap_or(default));
     let names = line.list::<String>("report.fields")?;
-    let place = |word: &str| {
-        let meant = ["x0", "x1"].into_iter().find(|x| {
-            let meaning = format!("extra.report{}", x.to_uppercase());
-            let told = line.fields.get(meaning.as_str());
-            told.is_some_and(|told| told.contains(word))
+    let index_by_meaning = |wanted: &str| {
+        let field = ["x0", "x1"].into_iter().find(|name| {
+            let key = format!("extra.report{}", name.to_uppercase());
+            let meaning = line.fields.get(key.as_str());
+            meaning.is_some_and(|meaning| meaning.contains(wanted))
         });
-        meant.and_then(|x| names.iter().position(|n| n == x))
+        field.and_then(|field| names.iter().position(|name| name == field))
+    };
+    let fields = ReportFields {
+        memory_share: index_by_meaning("share_of_memory"),
+        queued_kilotokens: index_by_meaning("prompt_tokens"),
     };
-    let fields =
-        ReportFields { memory_share: place("share_of_memory"), queued_kilotokens: place("prompt_tokens") };
     let how = line.fields.get("report.how").copied();
     let reports_memory = fields.memory_share.is_some() && how != Some("none");
     let settings = Settings {
-        replicas: line.optional("replicasOfMe")?.unwrap_or(plain.replicas),
-        zone: line.optional("zone")?.unwrap_or(plain.zone),
+        replicas: line.optional("replicasOfMe")?.unwrap_or(defaults.replicas),
+        zone: line.optional("zone")?.unwrap_or(defaults.zone),
         roles: roles.iter().map(role).collect::<Result<_, _>>()?,
         memory_tokens: line.list("extra.tokensByKind")?,
-        classes: (0..count).map(|at| class(line, at)).collect::<Result<_, _>>()?,
-        tenant_rates: (0..tenants).map(tenant).collect::<Result<_, _>>()?,
-        max_attempts: line.optional("permissions.maxAttempts")?.unwrap_or(plain.max_attempts),
+        classes: (0..class_count).map(|index| parse_class(line, index)).collect::<Result<_, _>>()?,
+        tenant_rates: (0..tenant_count).map(tenant_rate).collect::<Result<_, _>>()?,
+        max_attempts: line.optional("permissions.maxAttempts")?.unwrap_or(defaults.max_attempts),
         may_cancel: line.flag("permissions.cancelling")?,
         reports_memory,
         may_probe: line.flag("permissions.probes")? && reports_memory,
         writers_read: line.flag("extra.readInPlace")?,
         ask_roster: line.optional::<String>("membershipMode")?.as_deref() == Some("ask"),
-        resolution: time("resolutionMs", plain.resolution)?,
-        let_go: time("extra.letGoByMs", plain.let_go)?,
-        cold_from: line.number("rules.coldFrom")?.unwrap_or(plain.cold_from),
-        warm_after: time("rules.warmAfterMs", plain.warm_after)?,
-        overload_factor: line.number("rules.overloadFactor")?.unwrap_or(plain.overload_factor),
-        fall_window: time("rules.fallMs", plain.fall_window)?,
-        dial_timeout: time("permissions.dialTimeoutMs", plain.dial_timeout)?,
+        resolution: time_or("resolutionMs", defaults.resolution)?,
+        let_go: time_or("extra.letGoByMs", defaults.let_go)?,
+        cold_from: line.number("rules.coldFrom")?.unwrap_or(defaults.cold_from),
+        warm_after: time_or("rules.warmAfterMs", defaults.warm_after)?,
+        overload_factor: line.number("rules.overloadFactor")?.unwrap_or(defaults.overload_factor),
+        fall_window: time_or("rules.fallMs", defaults.fall_window)?,
+        dial_timeout: time_or("permissions.dialTimeoutMs", defaults.dial_timeout)?,
     };
     Ok((settings, line.required("randomSeed")?, fields))
 }
 
-/// Writes an action of an instance as a line.
-pub fn action(instance: u32, action: &Action, to: &mut String) {
-    let milliseconds = |t: Micros| t as f64 / 1000.0;
-    let text = |id: &RequestId| id.0.clone();
+/// Formats an action of an instance as a line and appends the line to the output.
+pub fn format_action(instance: u32, action: &Action, output: &mut String) {
+    let milliseconds = |time: Micros| time as f64 / 1000.0;
+    let id_text = |id: &RequestId| id.0.clone();
     // Writing to a string cannot fail.
     let _ = match action {
         Action::Send { id, server, .. } => {
-            writeln!(to, "SEND routerId={instance} ref={} worker={}", text(id), server.0)
+            writeln!(output, "SEND routerId={instance} ref={} worker={}", id_text(id), server.0)
         }
-        Action::Probe { server } => writeln!(to, "TOUCH routerId={instance} worker={}", server.0),
+        Action::Probe { server } => writeln!(output, "TOUCH routerId={instance} worker={}", server.0),
         Action::Cancel { id, attempt } => {
-            writeln!(to, "DROP_ATTEMPT routerId={instance} ref={} n={attempt}", text(id))
+            writeln!(output, "DROP_ATTEMPT routerId={instance} ref={} n={attempt}", id_text(id))
         }
-        Action::Release { id } => writeln!(to, "DROP_STATE routerId={instance} ref={}", text(id)),
+        Action::Release { id } => writeln!(output, "DROP_STATE routerId={instance} ref={}", id_text(id)),
         Action::Refuse { id, retry_after, .. } => {
             let wait = milliseconds(*retry_after);
-            writeln!(to, "SHED routerId={instance} ref={} waitMs={wait}", text(id))
+            writeln!(output, "SHED routerId={instance} ref={} waitMs={wait}", id_text(id))
         }
-        Action::Fail { id, .. } => writeln!(to, "LOSE routerId={instance} ref={}", text(id)),
-        Action::Watch => writeln!(to, "TRACK routerId={instance} want=1"),
+        Action::Fail { id, .. } => writeln!(output, "LOSE routerId={instance} ref={}", id_text(id)),
+        Action::Watch => writeln!(output, "TRACK routerId={instance} want=1"),
         Action::Timer { token, after } => {
-            writeln!(to, "ARM routerId={instance} ctx={token} spanMs={}", milliseconds(*after))
+            writeln!(output, "ARM routerId={instance} ctx={token} spanMs={}", milliseconds(*after))
         }
     };
 }
