--- a/examples/toy-fleet/main.rs
+++ b/examples/toy-fleet/main.rs
@@ -1,5 +1,5 @@
-//! A toy fleet on loopback: a reader, a writer, an embedder, a reranker, and the discovery that lists
-//! them. `cargo run --example toy-fleet` starts it; the README beside this file has the rest.
+//! A toy fleet on loopback: a reader, a writer, an embedder, a reranker, and the discovery service that lists
+//! them. `cargo run --example toy-fleet` starts the fleet; the README in this folder describes its use.
 #![forbid(unsafe_code)]
 
 use bytes::Bytes;
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 
 const DISCOVERY: &str = "127.0.0.1:8500";
-/// Name, model and address of each engine.
+/// Uid, model and address of each engine.
 const ENGINES: [(&str, &str, &str); 4] = [
     ("toy-reader", "prefill", "127.0.0.1:9101"),
     ("toy-writer", "decode", "127.0.0.1:9102"),
@@ -30,7 +30,7 @@
     answer
 }
 
-fn list() -> Value {
+fn engine_list() -> Value {
     let target = |(uid, model, endpoint): (&str, &str, &str)| {
         json!({"uid": uid, "endpoint": endpoint, "az": "here", "model": model, "pod_group": 0,
             "state": "SERVING", "capacity_hint": 1.0, "boot_ms": 0})
@@ -38,18 +38,18 @@
     json!({"rev": 1, "all": true, "targets": ENGINES.map(target)})
 }
 
-/// Lists the engines; a watch waits its time out, since nothing here ever changes.
+/// Answers discovery requests. A watch always waits for its full time, because the list never changes.
 async fn discovery(request: Request<Incoming>) -> Answer {
     let query = request.uri().query().unwrap_or("");
     if let Some(wait) = query.split('&').find_map(|part| part.strip_prefix("wait=")) {
         tokio::time::sleep(Duration::from_millis(wait.parse().unwrap_or(0))).await;
         return answer(StatusCode::OK, json!({"rev": 1, "all": false, "targets": []}).to_string());
     }
-    answer(StatusCode::OK, list().to_string())
+    answer(StatusCode::OK, engine_list().to_string())
 }
 
-/// How like a text is to another: the part of its words that the other has.
-fn likeness(text: &str, other: &str) -> f64 {
+/// Relevance of a text to another: the fraction of its words that the other contains.
+fn relevance(text: &str, other: &str) -> f64 {
     let words: Vec<_> = text.split_whitespace().collect();
     let shared = words.iter().filter(|word| other.contains(**word)).count();
     shared as f64 / words.len().max(1) as f64
@@ -71,8 +71,8 @@
                 |text: &str| format!("data: {}\n\n", json!({"choices": [{"delta": {"content": text}}]}));
             let events = event("It rained ") + &event("in Derby.") + "data: [DONE]\n\n";
             let mut answer = answer(StatusCode::OK, events);
-            let kind = hyper::header::HeaderValue::from_static("text/event-stream");
-            answer.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
+            let content_type = hyper::header::HeaderValue::from_static("text/event-stream");
+            answer.headers_mut().insert(hyper::header::CONTENT_TYPE, content_type);
             answer
         }
         "toy-embed" => {
@@ -86,12 +86,12 @@
         }
         _ => {
             let query = call["query"].as_str().unwrap_or("");
-            let score = |(index, text): (usize, Value)| (likeness(query, &text.to_string()), index);
+            let score = |(index, text): (usize, Value)| (relevance(query, &text.to_string()), index);
             let mut scores: Vec<_> = texts("documents").into_iter().enumerate().map(score).collect();
             scores.sort_by(|a, b| b.0.total_cmp(&a.0));
-            let top = call["top_n"].as_u64().map_or(scores.len(), |n| n as usize);
+            let top_n = call["top_n"].as_u64().map_or(scores.len(), |n| n as usize);
             let result = |(score, index): (f64, usize)| json!({"index": index, "relevance_score": score});
-            let results: Vec<_> = scores.into_iter().take(top).map(result).collect();
+            let results: Vec<_> = scores.into_iter().take(top_n).map(result).collect();
             answer(StatusCode::OK, json!({"model": model, "results": results}).to_string())
         }
     }
@@ -109,8 +109,8 @@
             })
         });
         tokio::task::spawn_local(async move {
-            let served = hyper::server::conn::http1::Builder::new();
-            if let Err(error) = served.serve_connection(TokioIo::new(stream), service).await {
+            let server = hyper::server::conn::http1::Builder::new();
+            if let Err(error) = server.serve_connection(TokioIo::new(stream), service).await {
                 eprintln!("connection: {error}");
             }
         });
