--- a/tests/inference.rs
+++ b/tests/inference.rs
@@ -1,4 +1,4 @@
-//! Embeddings and rerank beside chat on real sockets: drain, breaks, repeats and errors.
+//! Embeddings and rerank beside chat on real sockets: drains, broken connections, repeats and errors.
 
 mod loopback;
 use loopback::*;
@@ -25,8 +25,8 @@
         let writer = Engine::start("w1", "writer").await;
         let embedders = [Engine::start("e1", "embedder").await, Engine::start("e2", "embedder").await];
         let rerankers = [Engine::start("k1", "reranker").await, Engine::start("k2", "reranker").await];
-        let all = [&reader, &writer, &embedders[0], &embedders[1], &rerankers[0], &rerankers[1]];
-        let discovery = Discovery::start(&all).await;
+        let engines = [&reader, &writer, &embedders[0], &embedders[1], &rerankers[0], &rerankers[1]];
+        let discovery = Discovery::start(&engines).await;
         let pool = |model: &str, api: &str, effect: &str| {
             json!({"model": model, "api": api, "effect": effect, "aimMs": deadline_ms / 4,
                 "deadlineMs": deadline_ms, "maxInputs": 8, "discovery": discovery.address.to_string()})
@@ -49,34 +49,41 @@
     json!({"model": "reranker", "query": text, "documents": ["a", "b", "c"]}).to_string()
 }
 
-async fn embed(to: SocketAddr, text: &str) -> Answer {
-    ask(to, "POST", "/v1/embeddings", &[], &embed_body(text)).await
+async fn embed(address: SocketAddr, text: &str) -> Answer {
+    ask(address, "POST", "/v1/embeddings", &[], &embed_body(text)).await
 }
 
-async fn rerank(to: SocketAddr, text: &str, headers: &[(&str, &str)]) -> Answer {
-    ask(to, "POST", "/v1/rerank", headers, &rerank_body(text)).await
+async fn rerank(address: SocketAddr, text: &str, headers: &[(&str, &str)]) -> Answer {
+    ask(address, "POST", "/v1/rerank", headers, &rerank_body(text)).await
 }
 
 fn entries(answer: &Answer, list: &str) -> usize {
     answer.json()[list].as_array().map_or(0, Vec::len)
 }
 
-// The whole promise at once: all three kinds run while boxes of each are told to drain; every request has
-// its one answer, whole, from one run, and no box gets anything new more than 250 ms after the news.
+// All three kinds of request run while engines of each kind are set to draining. Every request must get one
+// complete answer from one run, and no draining engine may get new work more than 250 ms after the
+// announcement.
 #[tokio::test]
-async fn mixed_traffic_through_a_drain_loses_and_repeats_nothing() {
+async fn mixed_traffic_through_a_drain_loses_and_repeats_no_request() {
     local(async {
-        let w = World::start("unsafe", 20_000).await;
+        let world = World::start("unsafe", 20_000).await;
         let second_reader = Engine::start("r2", "reader").await;
         let second_writer = Engine::start("w2", "writer").await;
-        w.discovery.add(&second_reader);
-        w.discovery.add(&second_writer);
-        let engines =
-            [&w.reader, &w.writer, &w.embedders[0], &w.embedders[1], &w.rerankers[0], &w.rerankers[1]];
+        world.discovery.add(&second_reader);
+        world.discovery.add(&second_writer);
+        let engines = [
+            &world.reader,
+            &world.writer,
+            &world.embedders[0],
+            &world.embedders[1],
+            &world.rerankers[0],
+            &world.rerankers[1],
+        ];
         for engine in engines.into_iter().chain([&second_reader, &second_writer]) {
             engine.mode.set(Mode::Slow(30));
         }
-        let (to, answers) = (w.daemon.address, Rc::<RefCell<Vec<_>>>::default());
+        let (address, answers) = (world.daemon.address, Rc::<RefCell<Vec<_>>>::default());
         let mut clients = Vec::new();
         for client in 0..9 {
             let answers = answers.clone();
@@ -84,38 +91,42 @@
                 for n in 0..12 {
                     let name = format!("c{client}-{n}");
                     let (list, answer) = match client % 3 {
-                        0 => ("", chat(to, &name, "correction", 15_000).await),
-                        1 => ("data", embed(to, &name).await),
-                        _ => ("results", rerank(to, &name, &[]).await),
+                        0 => ("", chat(address, &name, "correction", 15_000).await),
+                        1 => ("data", embed(address, &name).await),
+                        _ => ("results", rerank(address, &name, &[]).await),
                     };
                     answers.borrow_mut().push((list, answer));
                 }
             }));
         }
-        until("under way", async || answers.borrow().len() > 18).await;
-        let drained = [&w.reader, &w.writer, &w.embedders[0], &w.rerankers[0]];
-        let versions = drained.map(|engine| w.discovery.set(engine, "DRAINING"));
+        until("at 18 answers", async || answers.borrow().len() > 18).await;
+        let draining_engines = [&world.reader, &world.writer, &world.embedders[0], &world.rerankers[0]];
+        let revisions = draining_engines.map(|engine| world.discovery.set(engine, "DRAINING"));
         for client in clients {
-            client.await.expect("a client ends");
+            client.await.expect("the client task completes");
         }
         assert_eq!(answers.borrow().len(), 9 * 12);
         for (list, answer) in answers.borrow().iter() {
-            let whole = match *list {
+            let complete = match *list {
                 "" => answer.body == EVENTS.concat() && answer.whole,
                 "data" => entries(answer, list) == 2,
                 _ => entries(answer, list) == 3,
             };
-            assert!(answer.status == 200 && whole, "{answer:?}");
+            assert!(answer.status == 200 && complete, "{answer:?}");
         }
-        for (engine, version) in drained.iter().zip(versions) {
-            let told = w.discovery.told(version);
+        for (engine, revision) in draining_engines.iter().zip(revisions) {
+            let informed_at = world.discovery.told(revision);
             let seen = engine.seen.borrow();
             let calls: Vec<_> = seen.iter().filter(|s| s.method == "POST").collect();
-            assert!(!calls.is_empty() && calls.iter().all(|s| s.at < told + Duration::from_millis(250)));
+            assert!(
+                !calls.is_empty()
+                    && calls.iter().all(|call| call.at < informed_at + Duration::from_millis(250))
+            );
         }
-        // What must not run twice ran once: each rerank body and each chat id at the writers.
+        // Requests that must not be repeated ran once: each rerank call, and each chat request at the
+        // writers.
         let mut runs = BTreeSet::new();
-        for engine in [&w.rerankers[0], &w.rerankers[1], &w.writer, &second_writer] {
+        for engine in [&world.rerankers[0], &world.rerankers[1], &world.writer, &second_writer] {
             for seen in engine.seen.borrow().iter().filter(|s| s.method == "POST") {
                 assert!(runs.insert((seen.headers["req-id"].clone(), seen.path.clone())), "{seen:?}");
             }
@@ -125,56 +136,59 @@
     .await;
 }
 
-// Half a ranking looks like a ranking: a batch cut off is run again whole, or fails, as its class allows.
+// A truncated ranking looks like a complete one. A call whose answer was cut off must be run again completely
+// if its class allows repeats, and fail otherwise.
 #[rstest]
 #[case::safe("safe", 200, 3)]
 #[case::must_not_repeat("unsafe", 502, 1)]
 #[tokio::test]
-async fn rerank_cut_off_by_a_vanished_box_is_never_answered_in_part(
+async fn truncated_rerank_answer_is_never_returned(
     #[case] effect: &str,
     #[case] status: u16,
     #[case] runs: usize,
 ) {
     local(async {
-        let w = World::start(effect, 20_000).await;
-        // Both cut one off: the first and the second run break, wherever they go.
-        w.rerankers.iter().for_each(|e| e.mode.set(Mode::CutOnce));
-        let answer = rerank(w.daemon.address, "q", &[]).await;
-        assert_eq!((answer.status, w.rerank_calls()), (status, runs));
+        let world = World::start(effect, 20_000).await;
+        // Each engine cuts off its first answer, so that the first two runs break on any engine.
+        world.rerankers.iter().for_each(|e| e.mode.set(Mode::CutOnce));
+        let answer = rerank(world.daemon.address, "q", &[]).await;
+        assert_eq!((answer.status, world.rerank_calls()), (status, runs));
         assert!(status != 200 || entries(&answer, "results") == 3);
         assert!(status == 200 || answer.json()["error"]["message"].is_string());
     })
     .await;
 }
 
-// Without a length a body ends where its connection does: a cut one shows only by what it lacks.
+// A body without a length ends with its connection. A truncated body can be detected only by its missing
+// entries.
 #[tokio::test]
-async fn answer_with_entries_missing_counts_as_none() {
+async fn answer_with_missing_entries_counts_as_failed() {
     local(async {
-        let w = World::start("unsafe", 20_000).await;
-        w.rerankers.iter().for_each(|e| e.mode.set(Mode::Short));
-        assert_eq!((rerank(w.daemon.address, "q", &[]).await.status, w.rerank_calls()), (502, 1));
+        let world = World::start("unsafe", 20_000).await;
+        world.rerankers.iter().for_each(|e| e.mode.set(Mode::Short));
+        assert_eq!((rerank(world.daemon.address, "q", &[]).await.status, world.rerank_calls()), (502, 1));
     })
     .await;
 }
 
-// A client that repeats under one key while the first try runs, or after it hung up, runs nothing twice.
+// A client may retry with the same key while the first call still runs, also after closing its connection.
+// The retry must not run the call a second time.
 #[tokio::test]
-async fn retry_under_one_key_joins_the_try_that_runs() {
+async fn retry_with_the_same_key_joins_the_running_call() {
     local(async {
-        let w = World::start("unsafe", 20_000).await;
-        w.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(400)));
-        let (to, key) = (w.daemon.address, [("Idempotency-Key", "k1")]);
-        let first = tokio::time::timeout(Duration::from_millis(150), rerank(to, "q", &key)).await;
-        first.expect_err("the first caller has hung up");
-        let (second, third) = tokio::join!(rerank(to, "q", &key), rerank(to, "q", &key));
-        for answer in [second, third, rerank(to, "q", &key).await] {
+        let world = World::start("unsafe", 20_000).await;
+        world.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(400)));
+        let (address, key) = (world.daemon.address, [("Idempotency-Key", "k1")]);
+        let first = tokio::time::timeout(Duration::from_millis(150), rerank(address, "q", &key)).await;
+        first.expect_err("the first client gave up before the answer");
+        let (second, third) = tokio::join!(rerank(address, "q", &key), rerank(address, "q", &key));
+        for answer in [second, third, rerank(address, "q", &key).await] {
             assert_eq!((answer.status, entries(&answer, "results")), (200, 3));
         }
-        assert_eq!(w.rerank_calls(), 1);
-        assert_eq!(rerank(to, "another", &key).await.status, 422, "the key is taken by another call");
-        assert_eq!(rerank(to, "q", &[]).await.status, 200);
-        assert_eq!(w.rerank_calls(), 2, "without a key each call is its own");
+        assert_eq!(world.rerank_calls(), 1);
+        assert_eq!(rerank(address, "another", &key).await.status, 422, "the key was used for another call");
+        assert_eq!(rerank(address, "q", &[]).await.status, 200);
+        assert_eq!(world.rerank_calls(), 2, "calls without a key run separately");
     })
     .await;
 }
@@ -183,38 +197,43 @@
 #[case::not_json("/v1/embeddings", json!("text"), 400)]
 #[case::empty_input("/v1/embeddings", json!({"model": "embedder", "input": []}), 400)]
 #[case::no_documents("/v1/rerank", json!({"model": "reranker", "query": "q", "documents": []}), 400)]
-#[case::no_such_model("/v1/rerank", json!({"model": "none", "query": "q", "documents": ["a"]}), 404)]
-#[case::model_of_the_other_call("/v1/rerank", json!({"model": "embedder", "query": "q", "documents": ["a"]}), 404)]
+#[case::unknown_model("/v1/rerank", json!({"model": "none", "query": "q", "documents": ["a"]}), 404)]
+#[case::model_of_the_other_api("/v1/rerank", json!({"model": "embedder", "query": "q", "documents": ["a"]}), 404)]
 #[case::too_many_inputs("/v1/embeddings", json!({"model": "embedder", "input": vec!["a"; 9]}), 413)]
 #[case::body_too_long("/v1/embeddings", json!({"model": "embedder", "input": "a".repeat(256 << 10)}), 413)]
 #[tokio::test]
-async fn call_at_fault_is_told_so_unsent(#[case] path: &str, #[case] body: Value, #[case] status: u16) {
+async fn invalid_call_is_rejected_without_being_sent(
+    #[case] path: &str,
+    #[case] body: Value,
+    #[case] status: u16,
+) {
     local(async {
-        let w = World::start("safe", 20_000).await;
-        let answer = ask(w.daemon.address, "POST", path, &[], &body.to_string()).await;
+        let world = World::start("safe", 20_000).await;
+        let answer = ask(world.daemon.address, "POST", path, &[], &body.to_string()).await;
         assert_eq!(answer.status, status);
         assert!(answer.json()["error"]["type"] == "invalid_request_error");
-        let calls: usize = w.embedders.iter().chain(&w.rerankers).map(|e| e.count("/v1/")).sum();
+        let calls: usize = world.embedders.iter().chain(&world.rerankers).map(|e| e.count("/v1/")).sum();
         assert_eq!(calls, 0);
     })
     .await;
 }
 
-// An engine that has gone silent costs its caller no more than the deadline; what became of it decides the word.
+// A call to an engine that stops answering ends by its deadline. The status depends on whether the call may
+// have run.
 #[rstest]
 #[case::may_have_run("unsafe", Mode::Silent, 504)]
 #[case::provably_not_run("unsafe", Mode::Declines, 429)]
 #[tokio::test]
-async fn deadline_passes_with_one_clear_answer(
+async fn call_without_answer_ends_by_its_deadline_with_the_right_status(
     #[case] effect: &str,
     #[case] mode: Mode,
     #[case] status: u16,
 ) {
     local(async {
-        let w = World::start(effect, 1000).await;
-        w.rerankers.iter().for_each(|e| e.mode.set(mode));
+        let world = World::start(effect, 1000).await;
+        world.rerankers.iter().for_each(|e| e.mode.set(mode));
         let start = Instant::now();
-        let answer = rerank(w.daemon.address, "q", &[]).await;
+        let answer = rerank(world.daemon.address, "q", &[]).await;
         assert_eq!(answer.status, status, "{answer:?}");
         assert_eq!(answer.head.contains("retry-after"), status == 429);
         assert!(start.elapsed() < Duration::from_secs(5));
@@ -222,18 +241,19 @@
     .await;
 }
 
-// Taken for answers, what an engine turns down at once would make the estimate call every slow call overdue.
+// Engines reject invalid calls at once. If these responses counted as answers, the estimated answer time
+// would become so short that every slow call was overdue.
 #[tokio::test]
-async fn calls_that_engines_find_at_fault_do_not_hurry_the_others() {
+async fn rejected_calls_do_not_shorten_the_estimate_for_other_calls() {
     local(async {
-        let w = World::start("safe", 20_000).await;
-        w.rerankers.iter().for_each(|e| e.mode.set(Mode::Faults));
+        let world = World::start("safe", 20_000).await;
+        world.rerankers.iter().for_each(|e| e.mode.set(Mode::Faults));
         for _ in 0..12 {
-            assert_eq!(rerank(w.daemon.address, "q", &[]).await.status, 400);
+            assert_eq!(rerank(world.daemon.address, "q", &[]).await.status, 400);
         }
-        w.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(1500)));
-        assert_eq!(rerank(w.daemon.address, "q", &[]).await.status, 200);
-        assert_eq!(w.rerank_calls(), 12 + 1);
+        world.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(1500)));
+        assert_eq!(rerank(world.daemon.address, "q", &[]).await.status, 200);
+        assert_eq!(world.rerank_calls(), 12 + 1);
     })
     .await;
 }
