--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The adapter on the wire: every event in, every kind of action out, and what is malformed.
+//! The simulator adapter: every event, every kind of action, and malformed lines.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -19,16 +19,16 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // A refused line ends the adapter before it has read all: a closed pipe is no fault of the test.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+    // A malformed line ends the adapter before it has read all input, so that writing to its pipe may fail.
+    let _ = child.stdin.take().expect("standard input is piped").write_all(input.as_bytes());
+    child.wait_with_output().expect("the adapter exits")
 }
 
-fn batch(turn: u32, ms: f64, lines: &str) -> String {
-    format!("CLOCK timeMs={ms} turn={turn}\n{lines}\nYOUR_TURN\n")
+fn batch(turn: u32, time_ms: f64, lines: &str) -> String {
+    format!("CLOCK timeMs={time_ms} turn={turn}\n{lines}\nYOUR_TURN\n")
 }
 
-fn started() -> String {
+fn start_batch() -> String {
     batch(1, 90_000.0, &format!("{SPAWN}\n{ROSTER}"))
 }
 
@@ -39,18 +39,18 @@
 fn reply(input: &str) -> String {
     let output = run(input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    String::from_utf8(output.stdout).expect("text")
+    String::from_utf8(output.stdout).expect("the output is UTF-8")
 }
 
-fn complaint(input: &str) -> String {
+fn error_message(input: &str) -> String {
     let output = run(input);
     assert!(!output.status.success(), "accepted: {input}");
-    String::from_utf8(output.stderr).expect("text")
+    String::from_utf8(output.stderr).expect("the output is UTF-8")
 }
 
 #[test]
-fn request_goes_its_whole_way() {
-    let mut input = started();
+fn request_is_read_written_and_released() {
+    let mut input = start_batch();
     input += &batch(2, 90_004.0, &job("r-1"));
     input += &batch(
         3,
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn every_other_event_and_outcome_is_taken() {
+fn every_other_event_and_outcome_is_accepted() {
     let codes = ["BAD", "FULL", "LATE", "NOCONN", "RST", "CXL", "NOP"];
-    let mut input = started();
+    let mut input = start_batch();
     for (n, code) in codes.iter().enumerate() {
         let done = format!("DONE routerId=3 ref=r-{n} n=0 worker=1 stateCode={code} costTimeMs=1 detail=1");
         input += &batch(2, 90_000.0 + n as f64, &format!("{}\n{done}", job(&format!("r-{n}"))));
@@ -98,25 +98,25 @@
 }
 
 #[test]
-fn cancel_fail_and_refuse_have_their_lines() {
-    let mut input = started();
+fn cancel_fail_and_refuse_are_written_as_lines() {
+    let mut input = start_batch();
     input += &batch(2, 90_004.0, &job("r-1"));
     input += &batch(3, 90_010.0, "ABANDONED routerId=3 ref=r-1");
     input += &batch(4, 90_020.0, &job("r-2").replace("expiresInMs=4000.0", "expiresInMs=0"));
     let reply = reply(&input);
     assert!(reply.contains("DROP_ATTEMPT routerId=3 ref=r-1 n=0\nDROP_STATE routerId=3 ref=r-1\n"));
-    // A refusal without a time to come back invites the next try into the same full queue.
+    // A refusal without a retry delay would make the client retry into the same full queue.
     assert!(reply.contains("SHED routerId=3 ref=r-2 waitMs=500\n"));
-    let unsafe_site = input.replace("effect=safe", "effect=unsafe");
-    let lost = batch(5, 90_030.0, &job("r-3"))
+    let unsafe_class = input.replace("effect=safe", "effect=unsafe");
+    let lost_request = batch(5, 90_030.0, &job("r-3"))
         + &batch(6, 90_040.0, "DONE routerId=3 ref=r-3 n=0 worker=1 stateCode=prefilled costTimeMs=9")
         + &batch(7, 90_050.0, "DONE routerId=3 ref=r-3 n=1 worker=2 stateCode=RST costTimeMs=9");
-    assert!(self::reply(&(unsafe_site + &lost)).contains("LOSE routerId=3 ref=r-3\n"));
+    assert!(self::reply(&(unsafe_class + &lost_request)).contains("LOSE routerId=3 ref=r-3\n"));
 }
 
 #[test]
-fn malformed_lines_are_named() {
-    for (bad, message, field) in [
+fn malformed_line_is_reported_with_message_and_field() {
+    for (malformed, message, field) in [
         ("JOB_IN routerId=3 kind=0 expiresInMs=5", "JOB_IN", "ref"),
         ("JOB_IN routerId=3 ref=a kind=0", "JOB_IN", "expiresInMs"),
         ("JOB_IN routerId=3 ref=a kind=0 expiresInMs=NaN", "JOB_IN", "expiresInMs"),
@@ -126,35 +126,38 @@
         ("SYNC routerId=3 form=full rows=2\nM worker=1 condition=ready", "SYNC", "rows"),
         ("SYNC routerId=3 form=full rows=1\nM worker=1 condition=lost", "M", "condition"),
     ] {
-        let said = complaint(&(started() + &batch(2, 90_001.0, bad)));
-        assert!(said.contains(message) && said.contains(&format!("field {field}:")), "{bad}: {said}");
+        let error = error_message(&(start_batch() + &batch(2, 90_001.0, malformed)));
+        assert!(
+            error.contains(message) && error.contains(&format!("field {field}:")),
+            "{malformed}: {error}"
+        );
     }
 }
 
 #[test]
-fn roster_cut_short_by_the_end_of_input_is_named() {
-    let cut = "CLOCK timeMs=1 turn=1\nSYNC routerId=3 form=full rows=2\nM worker=1 condition=ready\n";
-    assert!(complaint(cut).contains("SYNC: field rows"));
+fn roster_truncated_by_the_end_of_input_is_reported() {
+    let truncated = "CLOCK timeMs=1 turn=1\nSYNC routerId=3 form=full rows=2\nM worker=1 condition=ready\n";
+    assert!(error_message(truncated).contains("SYNC: field rows"));
 }
 
 #[test]
-fn settings_that_cannot_be_honoured_are_refused() {
-    let role = SPAWN.replace("read,write", "read,dream");
-    assert!(complaint(&batch(1, 1.0, &role)).contains("extra.roleByKind"));
-    let classes = SPAWN.replace("categories.count=1", "categories.count=0");
-    assert!(complaint(&batch(1, 1.0, &classes)).contains("class"));
+fn invalid_settings_are_rejected() {
+    let unknown_role = SPAWN.replace("read,write", "read,dream");
+    assert!(error_message(&batch(1, 1.0, &unknown_role)).contains("extra.roleByKind"));
+    let no_classes = SPAWN.replace("categories.count=1", "categories.count=0");
+    assert!(error_message(&batch(1, 1.0, &no_classes)).contains("class"));
 }
 
 #[test]
-fn empty_batch_and_end_of_input_are_clean() {
+fn empty_batch_and_empty_input_are_accepted() {
     assert_eq!(reply("CLOCK timeMs=8412.25 turn=1\nYOUR_TURN\n"), "EOR turn=1\n");
     assert_eq!(reply(""), "");
 }
 
 #[test]
-fn reports_that_are_odd_or_short_still_get_lawful_replies() {
+fn malformed_load_report_does_not_disturb_the_reply() {
     for report in ["-0.4,-1.25", "inf,nan", "0.4", "0.4,1.25,7"] {
-        let mut input = started();
+        let mut input = start_batch();
         input += &batch(2, 90_004.0, &job("r-1"));
         let done = "DONE routerId=3 ref=r-1 n=0 worker=1 stateCode=prefilled costTimeMs=46.5";
         input += &batch(3, 90_050.0, &format!("{done} feedback={report}"));
