--- a/tests/chat.rs
+++ b/tests/chat.rs
@@ -1,4 +1,4 @@
-//! The platform's rules on real sockets, one test a rule.
+//! Rules of the platform's protocol on real sockets, with one test for each rule.
 
 mod loopback;
 use loopback::*;
@@ -30,48 +30,52 @@
     }
 
     fn releases(&self, id: &str) -> usize {
-        let all = self.readers.iter().chain(&self.writers);
-        all.map(|e| e.count(&format!("/state/{id}"))).sum()
+        let engines = self.readers.iter().chain(&self.writers);
+        engines.map(|e| e.count(&format!("/state/{id}"))).sum()
     }
 }
 
 #[tokio::test]
 async fn events_reach_the_client_unchanged_and_the_job_reaches_both_engines() {
     local(async {
-        let w = World::start().await;
-        let answer = chat(w.daemon.address, "a1", "lookup", 9000).await;
+        let world = World::start().await;
+        let answer = chat(world.daemon.address, "a1", "lookup", 9000).await;
         assert_eq!((answer.status, answer.body, answer.whole), (200, EVENTS.concat(), true));
-        for engine in w.readers.iter().chain(&w.writers) {
+        for engine in world.readers.iter().chain(&world.writers) {
             for seen in engine.seen.borrow().iter() {
                 assert_eq!((seen.headers["req-id"].as_str(), seen.body.as_slice()), ("a1", CHAT.as_bytes()));
             }
         }
-        assert_eq!((w.calls(&w.readers), w.calls(&w.writers), w.releases("a1")), (1, 1, 0));
+        assert_eq!(
+            (world.calls(&world.readers), world.calls(&world.writers), world.releases("a1")),
+            (1, 1, 0)
+        );
     })
     .await;
 }
 
-// Engines drop repeats of a request by its key: sent without it, a repeat would run a second time.
+// Engines recognise repeats of a request by its idempotency key. A repeat sent without the key would run a
+// second time.
 #[rstest]
 #[case::with_a_key(Some("6a85b48b0ccb33ef"))]
-#[case::without_one(None)]
+#[case::without_a_key(None)]
 #[tokio::test]
 async fn idempotency_key_reaches_every_engine_as_the_client_sent_it(#[case] key: Option<&str>) {
     local(async {
-        let w = World::start().await;
-        w.set(&w.writers, Mode::Declines);
-        w.writers[0].mode.set(Mode::Well);
-        let plain = [("Req-Kind", "lookup"), ("Req-Owner", "desk"), ("Req-Deadline", "9000m")];
+        let world = World::start().await;
+        world.set(&world.writers, Mode::Declines);
+        world.writers[0].mode.set(Mode::Well);
+        let required_headers = [("Req-Kind", "lookup"), ("Req-Owner", "desk"), ("Req-Deadline", "9000m")];
         for n in 0..6 {
             let id = format!("a{n}");
-            let mut headers = plain.to_vec();
+            let mut headers = required_headers.to_vec();
             headers.push(("Req-Id", &id));
             headers.extend(key.map(|key| ("Idempotency-Key", key)));
-            let answer = ask(w.daemon.address, "POST", "/v1/chat/completions", &headers, CHAT).await;
+            let answer = ask(world.daemon.address, "POST", "/v1/chat/completions", &headers, CHAT).await;
             assert_eq!(answer.status, 200);
         }
-        assert!(w.writers[1].count("/v1/") > 0, "no attempt was repeated");
-        for engine in w.readers.iter().chain(&w.writers) {
+        assert!(world.writers[1].count("/v1/") > 0, "no attempt was repeated");
+        for engine in world.readers.iter().chain(&world.writers) {
             let seen = engine.seen.borrow();
             let attempts = seen.iter().filter(|seen| seen.path.starts_with("/v1/"));
             let keys: Vec<_> =
@@ -82,212 +86,230 @@
     .await;
 }
 
-// What is malformed costs an engine nothing and the gateway no panic.
+// A malformed request must not reach an engine, and must not make the gateway panic.
 #[rstest]
 #[case::no_id(&[("Req-Kind", "lookup"), ("Req-Owner", "desk")], CHAT, 400)]
 #[case::id_that_is_a_path(&[("Req-Id", "a/../b"), ("Req-Kind", "lookup"), ("Req-Owner", "desk")], CHAT, 400)]
-#[case::class(&[("Req-Id", "a"), ("Req-Kind", "poem"), ("Req-Owner", "desk")], CHAT, 400)]
-#[case::tenant(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "nobody")], CHAT, 400)]
-#[case::deadline(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk"), ("Req-Deadline", "5")], CHAT, 400)]
-#[case::lengths(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk"), ("Req-Extra", "prompt_len=-1")], CHAT, 400)]
-#[case::body(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk")], "{\"messages\":", 400)]
+#[case::unknown_class(&[("Req-Id", "a"), ("Req-Kind", "poem"), ("Req-Owner", "desk")], CHAT, 400)]
+#[case::unknown_tenant(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "nobody")], CHAT, 400)]
+#[case::deadline_without_unit(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk"), ("Req-Deadline", "5")], CHAT, 400)]
+#[case::negative_prompt_length(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk"), ("Req-Extra", "prompt_len=-1")], CHAT, 400)]
+#[case::truncated_body(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk")], "{\"messages\":", 400)]
 #[tokio::test]
-async fn malformed_request_is_turned_away_unsent(
+async fn malformed_request_is_rejected_without_being_sent(
     #[case] headers: &[(&str, &str)],
     #[case] body: &str,
     #[case] status: u16,
 ) {
     local(async {
-        let w = World::start().await;
-        let answer = ask(w.daemon.address, "POST", "/v1/chat/completions", headers, body).await;
+        let world = World::start().await;
+        let answer = ask(world.daemon.address, "POST", "/v1/chat/completions", headers, body).await;
         assert_eq!(answer.status, status);
         assert!(answer.json()["error"]["message"].is_string());
-        assert_eq!(w.calls(&w.readers), 0);
-        assert_eq!(chat(w.daemon.address, "b", "lookup", 9000).await.status, 200, "still serves");
+        assert_eq!(world.calls(&world.readers), 0);
+        assert_eq!(
+            chat(world.daemon.address, "b", "lookup", 9000).await.status,
+            200,
+            "the gateway no longer serves requests"
+        );
     })
     .await;
 }
 
 #[tokio::test]
-async fn oversized_body_and_unknown_path_have_their_status() {
+async fn oversized_body_and_unsupported_calls_get_the_right_status() {
     local(async {
-        let w = World::start().await;
-        let long = "x".repeat((256 << 10) + 1);
+        let world = World::start().await;
+        let oversized_body = "x".repeat((256 << 10) + 1);
         let headers = [("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk")];
-        let to = w.daemon.address;
-        assert_eq!(ask(to, "POST", "/v1/chat/completions", &headers, &long).await.status, 413);
-        assert_eq!(ask(to, "GET", "/v1/chat/completions", &[], "").await.status, 405);
-        // The second front is off unless an operator sets it up.
-        assert_eq!(ask(to, "POST", "/v1/embeddings", &[], "{}").await.status, 404);
-        assert_eq!(w.calls(&w.readers), 0);
+        let address = world.daemon.address;
+        assert_eq!(ask(address, "POST", "/v1/chat/completions", &headers, &oversized_body).await.status, 413);
+        assert_eq!(ask(address, "GET", "/v1/chat/completions", &[], "").await.status, 405);
+        // The embeddings and rerank front is disabled unless an operator configures it.
+        assert_eq!(ask(address, "POST", "/v1/embeddings", &[], "{}").await.status, 404);
+        assert_eq!(world.calls(&world.readers), 0);
     })
     .await;
 }
 
-// Ended with the last chunk, a stream that broke would pass for a whole one.
+// A broken stream that ended with the last chunk would look complete to the client.
 #[tokio::test]
 async fn broken_stream_ends_without_the_last_chunk() {
     local(async {
-        let w = World::start().await;
-        w.set(&w.writers, Mode::Cut);
-        let answer = chat(w.daemon.address, "a1", "lookup", 9000).await;
-        assert_eq!((answer.status, answer.whole, w.calls(&w.writers)), (200, false, 1));
+        let world = World::start().await;
+        world.set(&world.writers, Mode::Cut);
+        let answer = chat(world.daemon.address, "a1", "lookup", 9000).await;
+        assert_eq!((answer.status, answer.whole, world.calls(&world.writers)), (200, false, 1));
     })
     .await;
 }
 
-// All of the request was written: it may have run, so one that must not run twice fails, sent once.
+// The request was completely written and may have run. A request that must not run twice must fail after one
+// send.
 #[tokio::test]
-async fn correction_at_a_silent_writer_fails_in_time_and_is_not_repeated() {
+async fn unsafe_request_at_a_silent_writer_fails_in_time_and_is_not_repeated() {
     local(async {
-        let w = World::start().await;
-        w.set(&w.writers, Mode::Silent);
+        let world = World::start().await;
+        world.set(&world.writers, Mode::Silent);
         let start = Instant::now();
-        let answer = chat(w.daemon.address, "a1", "correction", 1500).await;
-        assert_eq!((answer.status, w.calls(&w.writers)), (504, 1));
-        assert!(start.elapsed() < Duration::from_millis(1500), "the client had already left");
+        let answer = chat(world.daemon.address, "a1", "correction", 1500).await;
+        assert_eq!((answer.status, world.calls(&world.writers)), (504, 1));
+        assert!(start.elapsed() < Duration::from_millis(1500), "the answer came after the client's deadline");
     })
     .await;
 }
 
 #[tokio::test]
-async fn correction_that_provably_never_ran_goes_to_another_writer() {
+async fn unsafe_request_that_provably_never_ran_goes_to_another_writer() {
     local(async {
-        let w = World::start().await;
-        w.writers[0].mode.set(Mode::Declines);
+        let world = World::start().await;
+        world.writers[0].mode.set(Mode::Declines);
         for n in 0..6 {
-            let answer = chat(w.daemon.address, &format!("a{n}"), "correction", 9000).await;
+            let answer = chat(world.daemon.address, &format!("a{n}"), "correction", 9000).await;
             assert_eq!(answer.status, 200);
         }
-        assert!(w.writers[0].count("/v1/") > 0, "the one that declines was never tried");
+        assert!(world.writers[0].count("/v1/") > 0, "the declining writer was never tried");
     })
     .await;
 }
 
-// A refusal carries when to come back: held or bare, it would cost the client its deadline or the queue.
+// A refusal has a retry delay. Without the delay the client would retry into a full queue at once, and a late
+// refusal would use up the client's deadline.
 #[tokio::test]
-async fn refusal_is_given_with_a_time_to_come_back() {
+async fn refusal_has_a_retry_delay() {
     local(async {
-        let w = World::start().await;
-        w.set(&w.readers, Mode::Silent);
-        let answer = chat(w.daemon.address, "a1", "lookup", 1200).await;
+        let world = World::start().await;
+        world.set(&world.readers, Mode::Silent);
+        let answer = chat(world.daemon.address, "a1", "lookup", 1200).await;
         assert_eq!(answer.status, 429);
         assert!(answer.head.contains("retry-after: 0."), "{}", answer.head);
     })
     .await;
 }
 
-// Any engine takes a release; one that cannot be reached must not be the end of it.
+// Every engine accepts the release of a state. A release that fails at one engine must be sent to another
+// engine.
 #[tokio::test]
-async fn state_of_a_request_given_up_is_let_go_at_an_engine_that_runs() {
+async fn state_of_an_abandoned_request_is_released_at_a_running_engine() {
     local(async {
-        let w = World::start().await;
-        w.set(&w.readers, Mode::Silent);
-        assert_eq!(chat(w.daemon.address, "a1", "lookup", 900).await.status, 429);
-        let heard = async || w.writers.iter().any(|e| e.count("/state/a1") > 0);
-        until("let go", heard).await;
+        let world = World::start().await;
+        world.set(&world.readers, Mode::Silent);
+        assert_eq!(chat(world.daemon.address, "a1", "lookup", 900).await.status, 429);
+        let release_received = async || world.writers.iter().any(|e| e.count("/state/a1") > 0);
+        until("released", release_received).await;
     })
     .await;
 }
 
-// A client that closes has gone: its work is called off and what it held let go.
+// A client that closes its connection has abandoned the request: the attempt is cancelled and the state
+// released.
 #[tokio::test]
-async fn abandoned_request_is_let_go() {
+async fn request_of_a_disconnected_client_is_released() {
     local(async {
-        let w = World::start().await;
-        w.set(&w.readers, Mode::Slow(2000));
-        let request = chat(w.daemon.address, "a1", "lookup", 15000);
-        tokio::time::timeout(Duration::from_millis(300), request).await.expect_err("it takes two seconds");
-        until("let go", async || w.releases("a1") > 0).await;
-        assert_eq!(w.calls(&w.writers), 0);
+        let world = World::start().await;
+        world.set(&world.readers, Mode::Slow(2000));
+        let request = chat(world.daemon.address, "a1", "lookup", 15000);
+        tokio::time::timeout(Duration::from_millis(300), request)
+            .await
+            .expect_err("the reader answers only after two seconds");
+        until("released", async || world.releases("a1") > 0).await;
+        assert_eq!(world.calls(&world.writers), 0);
     })
     .await;
 }
 
 #[tokio::test]
-async fn nothing_goes_to_a_draining_engine() {
+async fn draining_engine_gets_no_new_request() {
     local(async {
-        let w = World::start().await;
-        assert_eq!(chat(w.daemon.address, "a0", "lookup", 9000).await.status, 200);
-        let drained = w.discovery.set(&w.readers[0], "DRAINING");
+        let world = World::start().await;
+        assert_eq!(chat(world.daemon.address, "a0", "lookup", 9000).await.status, 200);
+        let drain_revision = world.discovery.set(&world.readers[0], "DRAINING");
         for n in 1..40 {
-            assert_eq!(chat(w.daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
+            assert_eq!(chat(world.daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let grace = w.discovery.told(drained) + Duration::from_millis(250);
-        assert!(w.readers[0].seen.borrow().iter().all(|seen| seen.at < grace));
+        let grace_end = world.discovery.told(drain_revision) + Duration::from_millis(250);
+        assert!(world.readers[0].seen.borrow().iter().all(|seen| seen.at < grace_end));
     })
     .await;
 }
 
-// An engine closes what stood idle; a request written to that would count as one that may have run.
+// Engines close idle connections. A request written to a closed connection would count as one that may have
+// run.
 #[tokio::test]
 async fn connection_that_the_engine_closed_is_not_used_again() {
     local(async {
-        let w = World::start().await;
-        w.set(&w.readers, Mode::Closes);
-        w.set(&w.writers, Mode::Closes);
+        let world = World::start().await;
+        world.set(&world.readers, Mode::Closes);
+        world.set(&world.writers, Mode::Closes);
         for n in 0..8 {
-            assert_eq!(chat(w.daemon.address, &format!("a{n}"), "correction", 9000).await.status, 200);
+            assert_eq!(chat(world.daemon.address, &format!("a{n}"), "correction", 9000).await.status, 200);
         }
-        assert_eq!((w.calls(&w.readers), w.calls(&w.writers)), (8, 8));
+        assert_eq!((world.calls(&world.readers), world.calls(&world.writers)), (8, 8));
     })
     .await;
 }
 
 #[tokio::test]
-async fn asked_to_stop_it_serves_what_still_comes_and_ends() {
+async fn stopping_gateway_serves_requests_that_still_arrive_and_then_ends() {
     local(async {
-        let w = World::start().await;
-        w.set(&w.readers, Mode::Slow(600));
-        let to = w.daemon.address;
-        let early = tokio::task::spawn_local(async move { chat(to, "a1", "lookup", 9000).await });
-        until("sent", async || w.calls(&w.readers) > 0).await;
-        w.daemon.stop.notify_one();
-        until("not ready", async || ask(to, "GET", "/ready", &[], "").await.status == 503).await;
-        assert_eq!(chat(to, "a2", "lookup", 9000).await.status, 200, "it came in the time of grace");
-        assert_eq!(early.await.expect("answered").status, 200);
-        tokio::time::timeout(Duration::from_secs(10), w.daemon.ended).await.expect("ends").expect("well");
+        let world = World::start().await;
+        world.set(&world.readers, Mode::Slow(600));
+        let address = world.daemon.address;
+        let early = tokio::task::spawn_local(async move { chat(address, "a1", "lookup", 9000).await });
+        until("sent", async || world.calls(&world.readers) > 0).await;
+        world.daemon.stop.notify_one();
+        until("not ready", async || ask(address, "GET", "/ready", &[], "").await.status == 503).await;
+        assert_eq!(
+            chat(address, "a2", "lookup", 9000).await.status,
+            200,
+            "a request within the grace period was not served"
+        );
+        assert_eq!(early.await.expect("the client task completes").status, 200);
+        tokio::time::timeout(Duration::from_secs(10), world.daemon.ended)
+            .await
+            .expect("the daemon ends in time")
+            .expect("the daemon task completes");
     })
     .await;
 }
 
-// A release overtook the read that followed it and took away its state: writers found none (410), and the
-// request was read over and over. What may be held goes before the prompt is read again, and nothing after that;
-// nothing is held where no read came.
+// A release used to overtake the read that followed it and delete the new state. Writers then found no state
+// (410), and the request was read repeatedly. A state that may exist is released before the prompt is read
+// again, and not afterwards. A read that never reached the reader leaves no state, so nothing is released.
 #[rstest]
-#[case::read_that_broke(false)]
-#[case::read_that_never_got_there(true)]
+#[case::broken_read(false)]
+#[case::unreachable_reader(true)]
 #[tokio::test]
-async fn request_read_again_is_not_released_in_between(#[case] unreachable: bool) {
+async fn release_is_sent_before_the_prompt_is_read_again(#[case] unreachable: bool) {
     local(async {
-        let mut w = World::start().await;
-        w.readers[0].mode.set(Mode::CutOnce);
+        let mut world = World::start().await;
+        world.readers[0].mode.set(Mode::CutOnce);
         if unreachable {
-            w.readers[0].address = closed_port().await;
-            w.discovery.set(&w.readers[0], "SERVING");
+            world.readers[0].address = closed_port().await;
+            world.discovery.set(&world.readers[0], "SERVING");
         }
-        let mut read_again = 0;
+        let mut repeated_reads = 0;
         for n in 0..6 {
             let id = format!("a{n}");
-            assert_eq!(chat(w.daemon.address, &id, "correction", 9000).await.status, 200);
+            assert_eq!(chat(world.daemon.address, &id, "correction", 9000).await.status, 200);
             let times = |engines: &[Engine], path: &str| {
                 let seen: Vec<_> = engines.iter().flat_map(|e| e.seen.borrow().clone()).collect();
-                let of = seen.into_iter().filter(|s| s.path.starts_with(path));
-                let of = of.filter(|s| s.headers.get("req-id").is_none_or(|told| *told == id));
-                let mut times: Vec<_> = of.map(|s| s.at).collect();
+                let requests = seen.into_iter().filter(|s| s.path.starts_with(path));
+                let requests = requests.filter(|s| s.headers.get("req-id").is_none_or(|sent| *sent == id));
+                let mut times: Vec<_> = requests.map(|s| s.at).collect();
                 times.sort();
                 times
             };
-            let reads = times(&w.readers, "/v1/");
-            let state = format!("/state/{id}");
-            let releases = [times(&w.readers, &state), times(&w.writers, &state)].concat();
-            assert_eq!(releases.len(), reads.len() - 1, "one for each read that broke");
-            assert!(releases.iter().all(|at| at < reads.last().expect("it was read")));
-            read_again += reads.len() - 1;
+            let reads = times(&world.readers, "/v1/");
+            let state_path = format!("/state/{id}");
+            let releases = [times(&world.readers, &state_path), times(&world.writers, &state_path)].concat();
+            assert_eq!(releases.len(), reads.len() - 1, "one release for each broken read");
+            assert!(releases.iter().all(|at| at < reads.last().expect("the prompt was read")));
+            repeated_reads += reads.len() - 1;
         }
-        assert_eq!(read_again, usize::from(!unreachable));
-        assert!(w.readers[1].count("/v1/") >= 1);
+        assert_eq!(repeated_reads, usize::from(!unreachable));
+        assert!(world.readers[1].count("/v1/") >= 1);
     })
     .await;
 }
