--- a/src/bin/meadowlug-benchlink/wire.rs
+++ b/src/bin/meadowlug-benchlink/wire.rs
@@ -58,8 +58,7 @@
         }
     }
 
-    /// Parses a time or duration in milliseconds and converts it to microseconds. Negative values count as
-    /// zero.
+    /// Parses a time or duration in milliseconds as microseconds. Negative values count as zero.
     pub fn time(&self, field: &str) -> Result<Option<Micros>, Malformed> {
         Ok(self.number(field)?.map(to_micros))
     }
--- a/src/config/bounds.rs
+++ b/src/config/bounds.rs
@@ -4,7 +4,7 @@
 
 /// Maximum number of operator connections that are served, and of further ones that get an error response.
 const MANAGEMENT_CONNECTIONS: (usize, usize) = (16, 8);
-/// Number of file descriptors that serve neither clients nor engines: those of the runtime, the listeners,
+/// Number of file descriptors for other uses than client and engine connections: the runtime, the listeners,
 /// discovery, files and operators.
 const RESERVED_SOCKETS: usize = 24 + MANAGEMENT_CONNECTIONS.0 + MANAGEMENT_CONNECTIONS.1;
 /// Memory that the program uses without open connections or requests, in megabytes.
@@ -33,8 +33,7 @@
 /// Limits of the parts, which together stay within the limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Maximum number of client connections that are served. Typical clients need up to a third of the
-    /// descriptors.
+    /// Maximum number of client connections. Typical clients need up to a third of the descriptors.
     pub client_connections: usize,
     /// Maximum number of further client connections, which are asked to retry later.
     pub excess_client_connections: usize,
@@ -52,8 +51,7 @@
     pub body_read_bytes: usize,
     /// Maximum number of bytes in the bodies of all open chat requests.
     pub open_chat_bytes: usize,
-    /// Maximum number of bytes in the bodies of all open embeddings and rerank calls and in the answers kept
-    /// for repeats.
+    /// Maximum number of bytes in all open embeddings and rerank calls and in the answers kept for repeats.
     pub inference_bytes: usize,
     /// Maximum size of an engine's answer that is buffered completely, in bytes.
     pub max_answer_bytes: usize,
@@ -87,7 +85,7 @@
     use super::*;
     use rstest::rstest;
 
-    // Constant limits suited to a large machine let the process exceed a small machine's memory and be killed.
+    // Constant limits suited to a large machine got the process killed on a machine with less memory.
     #[rstest]
     #[case::smallest(32, 256)]
     #[case::little_memory(32, 1024)]
--- a/src/config/list.rs
+++ b/src/config/list.rs
@@ -66,9 +66,8 @@
     names.iter().position(|known| known == name)
 }
 
-/// Assigns ids to engines. Every gateway derives the same id from a uid unless the hashes of two uids
-/// collide. The ids of engines that are no longer listed are removed, because new uids appear for as long as
-/// the gateway runs.
+/// Assigns ids to engines. All gateways derive the same id from a uid unless the hashes of two uids collide.
+/// Ids of unlisted engines are removed, because new uids appear for as long as the gateway runs.
 #[derive(Debug, Default)]
 pub struct Numbers {
     by_uid: HashMap<String, u32>,
@@ -76,8 +75,8 @@
 }
 
 impl Numbers {
-    /// Id of a uid. The id stays the same for as long as the uid is listed, even when an engine whose hash
-    /// collided with it is removed.
+    /// Returns the id of a uid. The id stays the same for as long as the uid is listed, even when another
+    /// engine whose uid has the same hash is removed.
     pub(super) fn id_for(&mut self, uid: &str) -> ServerId {
         if let Some(number) = self.by_uid.get(uid) {
             return ServerId(*number);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -178,7 +178,7 @@
 /// A validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The gateway's name.
+    /// Name of the gateway.
     pub name: String,
     /// Address that clients connect to.
     pub listen: String,
@@ -280,7 +280,7 @@
 }
 
 /// Decodes the list of engines held before a restart. A malformed list does not prevent the start, because
-/// discovery supplies another one.
+/// discovery supplies a new list.
 fn decode_known_list(list: serde_json::Value) -> Option<List> {
     serde_json::from_value(list).map_err(|e| log::warn!("known list ignored: {e}")).ok()
 }
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -15,8 +15,8 @@
 const MAX_FILE_BYTES: u64 = 16 << 20;
 
 /// Rereads a configuration file on request. The discovery address is always updated. The settings are
-/// replaced only as a whole, and only if nothing that requires a restart has changed: otherwise a mixture of
-/// two files would be in force.
+/// replaced as a whole, and only if nothing that requires a restart has changed, so that settings of two
+/// files are never mixed.
 pub struct Reload {
     path: PathBuf,
     restart_only: RestartOnly,
--- a/src/front/inference.rs
+++ b/src/front/inference.rs
@@ -1,5 +1,4 @@
-//! Embeddings and rerank APIs in their usual formats, on the same core as chat, with one driver for each
-//! model.
+//! Embeddings and rerank APIs in their usual formats. They use the core of chat, with one driver per model.
 
 use super::intake::{BodyReader, CHARS_PER_TOKEN, ReceivedRequest, header_text, parse_duration};
 use super::reply;
@@ -76,8 +75,7 @@
     Object { text: String },
 }
 
-/// Summary of a call: its model, its number of inputs and tokens, and the number of entries in a complete
-/// answer.
+/// Model, number of inputs, number of tokens, and number of entries in a complete answer of a call.
 #[derive(Debug, PartialEq)]
 struct CallSummary {
     model: String,
@@ -92,7 +90,7 @@
 
 fn parse_embeddings(body: &[u8]) -> Result<CallSummary, String> {
     let call: Embeddings = serde_json::from_slice(body).map_err(|_| "the body is no embeddings call")?;
-    let (inputs, count, empty) = match &call.input {
+    let (inputs, token_count, empty) = match &call.input {
         Input::Text(text) => (1, estimate_tokens(text.len()), text.is_empty()),
         Input::Texts(texts) => (
             texts.len(),
@@ -107,7 +105,7 @@
     if inputs == 0 || empty {
         return Err("input: empty".into());
     }
-    Ok(CallSummary { model: call.model, inputs, tokens: count, entries: inputs })
+    Ok(CallSummary { model: call.model, inputs, tokens: token_count, entries: inputs })
 }
 
 fn parse_rerank(body: &[u8]) -> Result<CallSummary, String> {
@@ -146,8 +144,7 @@
 }
 
 impl Inference {
-    /// Creates a front for the models. `instance_id` distinguishes its request ids from those of other
-    /// processes.
+    /// Creates a front. `instance_id` distinguishes its request ids from those of other processes.
     pub fn new(models: Vec<Model>, body_reader: Rc<BodyReader>, instance_id: u64) -> Self {
         Self { models, body_reader, instance_id, call_count: Cell::new(0) }
     }
@@ -205,8 +202,7 @@
                 expires_in,
                 ..Arrival::default()
             },
-            // The gateway recognises repeats by their key and sends engines at most one run of a call at a
-            // time.
+            // The gateway detects repeats by their key, so that at most one run of a call is sent at a time.
             job: Job {
                 path,
                 body,
@@ -220,8 +216,7 @@
             Ok(ticket) => ticket,
             Err(rejected) => return reply::rejection(rejected),
         };
-        // A repeat waits for an earlier call that has its own deadline, so the repeat's deadline is applied
-        // here.
+        // A repeat waits for a call with another deadline, so the repeat's own deadline is applied here.
         let result = tokio::time::timeout(Duration::from_micros(expires_in), ticket.answer()).await;
         reply::respond(result.unwrap_or(Answer::Failed { timed_out: true }))
     }
--- a/src/front/intake.rs
+++ b/src/front/intake.rs
@@ -40,8 +40,7 @@
 }
 
 impl BodyReader {
-    /// Creates a reader with a limit of `bytes` for all bodies together. Reading ends with the last phase of
-    /// a planned stop.
+    /// Creates a reader with a limit of `bytes` for all bodies. Reading ends when a planned stop has ended.
     pub fn new(bytes: usize, phase: watch::Receiver<Phase>) -> Self {
         Self { byte_budget: Semaphore::new(bytes), phase }
     }
@@ -134,8 +133,7 @@
     (number.is_finite() && (0.0..=1e12).contains(&number)).then_some((number * scale) as Micros)
 }
 
-/// Parses a request id. Only characters that are safe in a path are allowed, because the id becomes part of
-/// one.
+/// Parses a request id. Only path-safe characters are allowed, because the id becomes part of a path.
 pub(super) fn parse_request_id(text: &str) -> Option<RequestId> {
     let is_path_safe = |c: u8| c.is_ascii_alphanumeric() || b"-._~".contains(&c);
     (!text.is_empty() && text.len() <= 128 && text.bytes().all(is_path_safe))
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,5 +1,4 @@
-//! Protocol front ends: they convert client requests to submissions for the core and its answers to
-//! responses.
+//! Protocol front ends, which convert client requests to submissions and the core's answers to responses.
 
 mod inference;
 mod intake;
