--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -30,7 +30,7 @@
             Self::Stays
         } else if connection.in_request() {
             Self::CutsRequest
-        } else if connection.has_news() {
+        } else if connection.has_unread_input() {
             // A request or the client's own close crossed the order.
             Self::Stays
         } else {
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,5 +1,5 @@
-//! The state of one client's connection: whether it carries a request, what came ahead of the parser, how long it has been
-//! quiet, and whether its client has gone.
+//! The state of one client connection: whether it carries a request, which bytes were read ahead of the HTTP
+//! parser, how long it has been idle, and whether the client has disconnected.
 
 use super::eviction::ServeLimits;
 use super::heads::{Framing, Heads};
@@ -20,278 +20,284 @@
 use tokio::sync::Notify;
 use tokio::time::Sleep;
 
-/// How long what was handed on may take to be written out before a break ends the connection.
-const WRITE_OUT: Duration = Duration::from_millis(20);
+/// Delay before a body error closes the connection, so that data already passed to hyper is written out
+/// first.
+const WRITE_OUT_DELAY: Duration = Duration::from_millis(20);
 
-/// Bytes that are read at a time while a client waits for its answer.
-const READ_AHEAD: usize = 2 << 10;
-/// How often the poller is asked whether a client has gone that sends more than is read ahead.
-const ASK_EVERY: Duration = Duration::from_millis(50);
+/// Size of one read while a client waits for its response, in bytes.
+const READ_AHEAD_BYTES: usize = 2 << 10;
+/// Interval at which a connection is checked for a disconnect once the read-ahead budget is used up.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The client has closed its connection, or its sending on it, or reset it: no answer is owed any more.
+/// The client has closed or reset its connection, or has shut down its sending side: no response is owed any
+/// more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct ClientGone;
+pub(super) struct ClientDisconnected;
 
-impl fmt::Display for ClientGone {
+impl fmt::Display for ClientDisconnected {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the client has gone")
+        f.write_str("client disconnected")
     }
 }
 
-impl std::error::Error for ClientGone {}
+impl std::error::Error for ClientDisconnected {}
 
-impl From<ClientGone> for AttemptError {
-    fn from(gone: ClientGone) -> Self {
-        Self::new(Progress::Written, gone)
+impl From<ClientDisconnected> for AttemptError {
+    fn from(cause: ClientDisconnected) -> Self {
+        Self::new(Progress::Written, cause)
     }
 }
 
-/// One connection.
+/// One client connection.
 pub(super) struct Connection {
     pub(super) stream: Rc<TcpStream>,
     heads: RefCell<Heads>,
-    /// What has come behind the request that is being answered, for the parser to read after it.
-    ahead: RefCell<BytesMut>,
-    /// Room that is left for that on all connections.
-    ahead_room: Rc<Cell<usize>>,
-    /// Whether the client's sending has come to its end.
-    ended: Cell<bool>,
-    /// Requests that are being answered.
-    answering: Cell<usize>,
-    /// The id of the one that has no answer yet.
-    unanswered: RefCell<Option<Rc<str>>>,
-    /// Whether one was.
-    used: Cell<bool>,
-    /// When the last byte came or the last answer ended.
-    quiet_since: Cell<Instant>,
-    /// When the request that is coming began.
-    begun: Cell<Instant>,
-    /// Whether it was asked to close.
-    leaving: Cell<bool>,
-    /// Whether another connection waits for its place.
-    awaited: Cell<bool>,
-    close: Notify,
+    /// Bytes received after the request in progress, which the parser reads once that request is finished.
+    read_ahead: RefCell<BytesMut>,
+    /// Remaining read-ahead budget in bytes, shared by all connections.
+    read_ahead_budget: Rc<Cell<usize>>,
+    /// True once the client has shut down its sending side or the connection has failed.
+    read_ended: Cell<bool>,
+    /// Number of requests that are being answered.
+    requests_in_progress: Cell<usize>,
+    /// The id of the request that has no response yet.
+    unanswered_id: RefCell<Option<Rc<str>>>,
+    /// True once a request has been handled on this connection.
+    has_served: Cell<bool>,
+    /// Time of the last received byte or the end of the last response.
+    last_activity: Cell<Instant>,
+    /// Time at which the request that is being received started.
+    request_started: Cell<Instant>,
+    /// True if the connection was asked to close or is closing on its own.
+    closing: Cell<bool>,
+    /// True if another connection waits for the slot of this one.
+    slot_awaited: Cell<bool>,
+    close_request: Notify,
 }
 
 impl Connection {
-    pub(super) fn new(stream: Rc<TcpStream>, ahead_room: Rc<Cell<usize>>) -> Self {
+    pub(super) fn new(stream: Rc<TcpStream>, read_ahead_budget: Rc<Cell<usize>>) -> Self {
         let now = Instant::now();
         Self {
             stream,
             heads: RefCell::default(),
-            ahead: RefCell::default(),
-            ahead_room,
-            ended: Cell::new(false),
-            answering: Cell::new(0),
-            unanswered: RefCell::default(),
-            used: Cell::new(false),
-            quiet_since: Cell::new(now),
-            begun: Cell::new(now),
-            leaving: Cell::new(false),
-            awaited: Cell::new(false),
-            close: Notify::new(),
+            read_ahead: RefCell::default(),
+            read_ahead_budget,
+            read_ended: Cell::new(false),
+            requests_in_progress: Cell::new(0),
+            unanswered_id: RefCell::default(),
+            has_served: Cell::new(false),
+            last_activity: Cell::new(now),
+            request_started: Cell::new(now),
+            closing: Cell::new(false),
+            slot_awaited: Cell::new(false),
+            close_request: Notify::new(),
         }
     }
 
-    /// Waits until the connection is to be closed.
-    pub(super) async fn asked_to_close(&self) {
-        self.close.notified().await;
+    /// Waits until the connection is asked to close.
+    pub(super) async fn wait_for_close_request(&self) {
+        self.close_request.notified().await;
     }
 
-    /// The framing of the request that is handed over next.
+    /// Returns the framing of the request that the parser passes on next.
     pub(super) fn next_framing(&self) -> Framing {
-        // A head that was not seen whole cannot be vouched for.
+        // A head that was not seen completely may contain both a length and a transfer encoding.
         self.heads.borrow_mut().next().unwrap_or(Framing::Both)
     }
 
-    /// Whether a request has begun to come, and has not ended.
+    /// Returns true while a request has been received in part.
     pub(super) fn in_request(&self) -> bool {
         self.heads.borrow().in_request()
     }
 
-    /// Whether a request is being answered on it.
+    /// Returns true while a request is being answered on this connection.
     pub(super) fn is_answering(&self) -> bool {
-        self.answering.get() > 0
+        self.requests_in_progress.get() > 0
     }
 
-    /// The id of a request that was read and has no answer yet, unless its client has gone.
-    pub(super) fn unanswered(&self) -> Option<Rc<str>> {
-        self.unanswered.borrow().clone().filter(|_| !self.ended.get())
+    /// Returns the id of a request that was read and has no response yet, unless the client has disconnected.
+    pub(super) fn unanswered_request_id(&self) -> Option<Rc<str>> {
+        self.unanswered_id.borrow().clone().filter(|_| !self.read_ended.get())
     }
 
-    /// Whether a request was ever answered on it.
-    pub(super) fn is_used(&self) -> bool {
-        self.used.get()
+    /// Returns true if a request was ever handled on this connection.
+    pub(super) fn has_served_request(&self) -> bool {
+        self.has_served.get()
     }
 
-    /// Whether something has come that was not read yet, or the other side has closed.
-    pub(super) fn has_news(&self) -> bool {
-        self.ended.get() || !self.ahead.borrow().is_empty() || is_stale(&self.stream)
+    /// Returns true if received bytes are still unread or the client has closed the connection.
+    pub(super) fn has_unread_input(&self) -> bool {
+        self.read_ended.get() || !self.read_ahead.borrow().is_empty() || is_stale(&self.stream)
     }
 
-    /// Waits until the client has gone. The parser reads nothing more while a request is being answered and
-    /// something waits behind it, so what comes is read here, and kept for the parser.
-    pub(super) async fn client_gone(&self) -> ClientGone {
-        while !self.ended.get() {
-            if self.ahead_room.get() >= READ_AHEAD {
-                poll_fn(|context| self.poll_ahead(context)).await;
+    /// Waits until the client has disconnected. While a request is being answered and further bytes wait
+    /// behind it, the parser reads nothing more, so this method reads those bytes and keeps them for the
+    /// parser.
+    pub(super) async fn wait_for_disconnect(&self) -> ClientDisconnected {
+        while !self.read_ended.get() {
+            if self.read_ahead_budget.get() >= READ_AHEAD_BYTES {
+                poll_fn(|context| self.poll_read_ahead(context)).await;
             } else {
-                // The end stands behind what is not read: only the poller tells of it.
+                // The end of the stream stands behind unread bytes, so only the poller can report it.
                 let ready = self.stream.ready(Interest::READABLE).await;
-                self.ended.set(ready.is_ok_and(|ready| ready.is_read_closed()));
-                if !self.ended.get() {
-                    tokio::time::sleep(ASK_EVERY).await;
+                self.read_ended.set(ready.is_ok_and(|ready| ready.is_read_closed()));
+                if !self.read_ended.get() {
+                    tokio::time::sleep(DISCONNECT_CHECK_INTERVAL).await;
                 }
             }
         }
-        ClientGone
+        ClientDisconnected
     }
 
-    /// Reads on ahead of the parser; ready once something has come, or the end.
-    fn poll_ahead(&self, context: &mut Context<'_>) -> Poll<()> {
-        let mut bytes = [0; READ_AHEAD];
+    /// Reads ahead of the parser; ready once bytes or the end of the stream have arrived.
+    fn poll_read_ahead(&self, context: &mut Context<'_>) -> Poll<()> {
+        let mut bytes = [0; READ_AHEAD_BYTES];
         let mut buffer = ReadBuf::new(&mut bytes);
         let read = ready!(transport::poll_read(&self.stream, context, &mut buffer));
         if read.is_err() || buffer.filled().is_empty() {
-            self.ended.set(true);
+            self.read_ended.set(true);
         } else {
-            self.came(buffer.filled());
-            self.ahead_room.set(self.ahead_room.get().saturating_sub(buffer.filled().len()));
-            self.ahead.borrow_mut().extend_from_slice(buffer.filled());
+            self.record_received(buffer.filled());
+            self.read_ahead_budget.set(self.read_ahead_budget.get().saturating_sub(buffer.filled().len()));
+            self.read_ahead.borrow_mut().extend_from_slice(buffer.filled());
         }
         Poll::Ready(())
     }
 
-    /// Whether it was asked to close, or closes by itself.
-    pub(super) fn is_leaving(&self) -> bool {
-        self.leaving.get()
+    /// Returns true if the connection was asked to close or is closing on its own.
+    pub(super) fn is_closing(&self) -> bool {
+        self.closing.get()
     }
 
-    /// It closes by itself from now on, and makes room for nothing more.
-    pub(super) fn leave(&self) {
-        self.leaving.set(true);
+    /// Marks the connection as closing on its own, so that it is not chosen to make room for another.
+    pub(super) fn mark_closing(&self) {
+        self.closing.set(true);
     }
 
-    pub(super) fn ask_to_close(&self) {
-        self.leaving.set(true);
-        self.close.notify_one();
+    pub(super) fn request_close(&self) {
+        self.closing.set(true);
+        self.close_request.notify_one();
     }
 
-    /// Has it closed so that another can have its place at once.
-    pub(super) fn make_way(&self) {
-        self.awaited.set(true);
-        self.ask_to_close();
+    /// Closes the connection so that a waiting connection can take its slot at once.
+    pub(super) fn close_for_new_connection(&self) {
+        self.slot_awaited.set(true);
+        self.request_close();
     }
 
-    /// Whether another connection waits for its place: it must not linger.
-    pub(super) fn is_awaited(&self) -> bool {
-        self.awaited.get()
+    /// Returns true if another connection waits for this slot: the connection must not linger.
+    pub(super) fn is_slot_awaited(&self) -> bool {
+        self.slot_awaited.get()
     }
 
-    /// Stays, since something came in the last moment.
-    pub(super) fn stay(&self) {
-        self.leaving.set(false);
-        self.awaited.set(false);
+    /// Cancels a close, since bytes arrived just before it.
+    pub(super) fn cancel_close(&self) {
+        self.closing.set(false);
+        self.slot_awaited.set(false);
     }
 
-    /// How long it has been quiet, if no request is open on it.
-    pub(super) fn quiet(&self) -> Option<Duration> {
-        (!self.leaving.get() && self.answering.get() == 0).then(|| self.quiet_since.get().elapsed())
+    /// Returns how long the connection has been idle, or `None` if a request is being answered or it is
+    /// closing.
+    pub(super) fn idle_time(&self) -> Option<Duration> {
+        (!self.closing.get() && self.requests_in_progress.get() == 0)
+            .then(|| self.last_activity.get().elapsed())
     }
 
     pub(super) fn is_overdue(&self, limits: &ServeLimits) -> bool {
-        let Some(quiet) = self.quiet() else { return false };
+        let Some(idle_time) = self.idle_time() else { return false };
         if self.in_request() {
-            return quiet >= limits.stall || self.begun.get().elapsed() >= limits.head;
+            return idle_time >= limits.stall || self.request_started.get().elapsed() >= limits.head;
         }
-        quiet >= if self.used.get() { limits.idle } else { limits.stall }
+        idle_time >= if self.has_served.get() { limits.idle } else { limits.stall }
     }
 
-    fn came(&self, bytes: &[u8]) {
+    fn record_received(&self, bytes: &[u8]) {
         let now = Instant::now();
         let mut heads = self.heads.borrow_mut();
         if !heads.in_request() {
-            self.begun.set(now);
+            self.request_started.set(now);
         }
         heads.push(bytes);
-        self.quiet_since.set(now);
+        self.last_activity.set(now);
     }
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.ahead_room.set(self.ahead_room.get() + self.ahead.borrow().len());
+        self.read_ahead_budget.set(self.read_ahead_budget.get() + self.read_ahead.borrow().len());
     }
 }
 
 /// A request that is being answered on a connection.
-pub(super) struct RequestInHand(Rc<Connection>);
+pub(super) struct RequestInProgress(Rc<Connection>);
 
-impl RequestInHand {
-    /// A request of that id on that connection.
+impl RequestInProgress {
+    /// Registers a request with the given id on the connection.
     pub(super) fn new(connection: Rc<Connection>, id: &str) -> Self {
-        connection.answering.set(connection.answering.get() + 1);
-        connection.used.set(true);
-        connection.unanswered.replace(Some(Rc::from(id)));
+        connection.requests_in_progress.set(connection.requests_in_progress.get() + 1);
+        connection.has_served.set(true);
+        connection.unanswered_id.replace(Some(Rc::from(id)));
         Self(connection)
     }
 }
 
-impl Drop for RequestInHand {
+impl Drop for RequestInProgress {
     fn drop(&mut self) {
-        self.0.answering.set(self.0.answering.get() - 1);
-        self.0.quiet_since.set(Instant::now());
+        self.0.requests_in_progress.set(self.0.requests_in_progress.get() - 1);
+        self.0.last_activity.set(Instant::now());
     }
 }
 
-/// An answer's body, with which the request's time on the connection ends.
+/// A response body; dropping it ends the request on its connection.
 pub(super) struct ClientBody<B: Body> {
     body: B,
-    /// A break that is still to be told, and when.
-    broken: Option<(B::Error, Pin<Box<Sleep>>)>,
-    gone: Pin<Box<dyn Future<Output = ClientGone>>>,
-    _answering: RequestInHand,
+    /// An error that is still to be reported, and the timer after which it is.
+    delayed_error: Option<(B::Error, Pin<Box<Sleep>>)>,
+    disconnect: Pin<Box<dyn Future<Output = ClientDisconnected>>>,
+    _request: RequestInProgress,
 }
 
 impl<B: Body> ClientBody<B> {
-    pub(super) fn new(body: B, answering: RequestInHand) -> Self {
-        let connection = answering.0.clone();
-        connection.unanswered.take();
-        let gone = Box::pin(async move { connection.client_gone().await });
-        Self { body, broken: None, gone, _answering: answering }
+    pub(super) fn new(body: B, request: RequestInProgress) -> Self {
+        let connection = request.0.clone();
+        connection.unanswered_id.take();
+        let disconnect = Box::pin(async move { connection.wait_for_disconnect().await });
+        Self { body, delayed_error: None, disconnect, _request: request }
     }
 }
 
 impl<B: Body + Unpin> Body for ClientBody<B>
 where
-    B::Error: Unpin + From<ClientGone>,
+    B::Error: Unpin + From<ClientDisconnected>,
 {
     type Data = B::Data;
     type Error = B::Error;
 
-    /// A break is told a little late: the connection is dropped on it with all that was not written out, and
-    /// what was handed on just before, the head included, would never reach the client.
+    /// Delays an error by a short time: on an error, hyper drops the connection with everything that was not
+    /// written out, and data that was passed on just before, including the response head, would never reach
+    /// the client.
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<B::Data>, B::Error>>> {
-        let marked = self.get_mut();
-        // Nobody reads the answer any more. One whose end is at hand may still be written.
-        if !marked.body.is_end_stream() && marked.gone.as_mut().poll(context).is_ready() {
-            return Poll::Ready(Some(Err(ClientGone.into())));
+        let this = self.get_mut();
+        // The client has disconnected and reads no more. A body that is at its end may still be written.
+        if !this.body.is_end_stream() && this.disconnect.as_mut().poll(context).is_ready() {
+            return Poll::Ready(Some(Err(ClientDisconnected.into())));
         }
-        if marked.broken.is_none() {
-            match ready!(Pin::new(&mut marked.body).poll_frame(context)) {
+        if this.delayed_error.is_none() {
+            match ready!(Pin::new(&mut this.body).poll_frame(context)) {
                 Some(Err(error)) => {
-                    marked.broken = Some((error, Box::pin(tokio::time::sleep(WRITE_OUT))));
+                    this.delayed_error = Some((error, Box::pin(tokio::time::sleep(WRITE_OUT_DELAY))));
                 }
                 frame => return Poll::Ready(frame),
             }
         }
-        if let Some((_, due)) = &mut marked.broken {
-            ready!(due.as_mut().poll(context));
+        if let Some((_, timer)) = &mut this.delayed_error {
+            ready!(timer.as_mut().poll(context));
         }
-        Poll::Ready(marked.broken.take().map(|(error, _)| Err(error)))
+        Poll::Ready(this.delayed_error.take().map(|(error, _)| Err(error)))
     }
 
     fn is_end_stream(&self) -> bool {
@@ -303,7 +309,7 @@
     }
 }
 
-/// A connection's bytes, with what has come noted.
+/// The byte stream of a connection, which records what is received.
 pub(super) struct ClientStream(pub(super) Rc<Connection>);
 
 impl AsyncRead for ClientStream {
@@ -312,20 +318,20 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut ahead = self.0.ahead.borrow_mut();
-        if !ahead.is_empty() {
-            let here = ahead.len().min(buffer.remaining());
-            buffer.put_slice(&ahead.split_to(here));
-            self.0.ahead_room.set(self.0.ahead_room.get() + here);
+        let mut read_ahead = self.0.read_ahead.borrow_mut();
+        if !read_ahead.is_empty() {
+            let count = read_ahead.len().min(buffer.remaining());
+            buffer.put_slice(&read_ahead.split_to(count));
+            self.0.read_ahead_budget.set(self.0.read_ahead_budget.get() + count);
             return Poll::Ready(Ok(()));
         }
-        if self.0.ended.get() {
+        if self.0.read_ended.get() {
             return Poll::Ready(Ok(()));
         }
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let read = transport::poll_read(&self.0.stream, context, buffer);
-        if buffer.filled().len() > before {
-            self.0.came(&buffer.filled()[before..]);
+        if buffer.filled().len() > filled_before {
+            self.0.record_received(&buffer.filled()[filled_before..]);
         }
         read
     }
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -37,7 +37,7 @@
 pub(super) struct Connections {
     limits: ServeLimits,
     all: RefCell<BTreeMap<u64, Rc<Connection>>>,
-    ahead_room: Rc<Cell<usize>>,
+    read_ahead_budget: Rc<Cell<usize>>,
     next: Cell<u64>,
 }
 
@@ -66,8 +66,8 @@
 
 impl Connections {
     pub(super) fn new(limits: ServeLimits) -> Rc<Self> {
-        let ahead_room = Rc::new(Cell::new(limits.ahead));
-        Rc::new(Self { limits, all: RefCell::default(), ahead_room, next: Cell::new(0) })
+        let read_ahead_budget = Rc::new(Cell::new(limits.ahead));
+        Rc::new(Self { limits, all: RefCell::default(), read_ahead_budget, next: Cell::new(0) })
     }
 
     pub(super) fn open(&self) -> usize {
@@ -86,7 +86,7 @@
             return Room::None;
         }
         let (number, connection) =
-            (self.next.get(), Rc::new(Connection::new(Rc::new(stream), self.ahead_room.clone())));
+            (self.next.get(), Rc::new(Connection::new(Rc::new(stream), self.read_ahead_budget.clone())));
         self.next.set(number + 1);
         self.all.borrow_mut().insert(number, connection.clone());
         let registration = Registration { connections: self.clone(), number, connection };
@@ -96,21 +96,23 @@
     /// Has the connection that is missed least closed where room is short. Whether there is none left.
     fn make_room(&self) -> bool {
         let all = self.all.borrow();
-        let staying = all.values().filter(|s| !s.is_leaving()).count();
+        let staying = all.values().filter(|s| !s.is_closing()).count();
         let full = staying >= self.limits.connections;
         if (staying as f64) < self.limits.connections as f64 * CROWDED {
             return false;
         }
-        let quiet = all.values().filter_map(|s| Some((s.quiet()?, s)));
-        let open = quiet.filter(|(quiet, s)| {
-            let old = *quiet >= self.limits.idle_least;
-            old || full && (*quiet >= YOUNG || s.is_used()) && !s.in_request()
+        let idle_time = all.values().filter_map(|s| Some((s.idle_time()?, s)));
+        let open = idle_time.filter(|(idle_time, s)| {
+            let old = *idle_time >= self.limits.idle_least;
+            old || full && (*idle_time >= YOUNG || s.has_served_request()) && !s.in_request()
         });
         // First what has had its time, then what never asked anything, then the longest idle.
-        let least = open.max_by_key(|(quiet, s)| (*quiet >= self.limits.idle_least, !s.is_used(), *quiet));
+        let least = open.max_by_key(|(idle_time, s)| {
+            (*idle_time >= self.limits.idle_least, !s.has_served_request(), *idle_time)
+        });
         match least {
             Some((_, connection)) => {
-                connection.make_way();
+                connection.close_for_new_connection();
                 false
             }
             None => full,
@@ -120,14 +122,14 @@
     /// Has all closed on which no request is being answered.
     pub(super) fn close_all(&self) {
         for connection in self.all.borrow().values().filter(|connection| !connection.is_answering()) {
-            connection.ask_to_close();
+            connection.request_close();
         }
     }
 
     /// Has those closed that were quiet for too long.
     pub(super) fn close_overdue(&self) {
         for connection in self.all.borrow().values().filter(|s| s.is_overdue(&self.limits)) {
-            connection.ask_to_close();
+            connection.request_close();
         }
     }
 }
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -2,7 +2,7 @@
 
 use super::accept::{ACCEPT_AGAIN, AcceptFailure, waiting};
 use super::closing::{CloseReason, ClosedConnection, Closing, last_words, linger};
-use super::connection::{ClientBody, ClientStream, Connection, RequestInHand};
+use super::connection::{ClientBody, ClientStream, Connection, RequestInProgress};
 use super::engines::HttpEvents;
 use super::eviction::{Connections, Registration, Room, ServeLimits};
 use super::heads::Framing;
@@ -184,7 +184,7 @@
     }
     let service = service_fn(|request| {
         let (front, framing) = (front.clone(), connection.next_framing());
-        let answering = RequestInHand::new(connection.clone(), request_id(&request));
+        let answering = RequestInProgress::new(connection.clone(), request_id(&request));
         let connection = connection.clone();
         async move {
             let mut response = match framing {
@@ -193,7 +193,7 @@
                 // Looked at first each time: nothing is begun for a client that has gone.
                 Framing::Length | Framing::Chunks => tokio::select! {
                     biased;
-                    gone = connection.client_gone() => return Err(gone),
+                    gone = connection.wait_for_disconnect() => return Err(gone),
                     response = front.handle(request) => response,
                 },
             };
@@ -222,15 +222,15 @@
                     break (last_words(served.as_mut()).await, CloseReason::SentAway);
                 }
             }
-            () = connection.asked_to_close() => match Closing::of(&connection) {
-                Closing::Stays => connection.stay(),
+            () = connection.wait_for_close_request() => match Closing::of(&connection) {
+                Closing::Stays => connection.cancel_close(),
                 Closing::CutsRequest => {
                     // Nothing is being answered, so nothing else is being written.
                     drop(connection.stream.try_write(REQUEST_TIMEOUT));
                     break (Ok(()), CloseReason::RequestTimeout);
                 }
                 Closing::Rests => {
-                    let awaited = connection.is_awaited();
+                    let awaited = connection.is_slot_awaited();
                     let reason = if awaited { CloseReason::MadeRoom } else { CloseReason::Idle };
                     served.as_mut().graceful_shutdown();
                     break (last_words(served.as_mut()).await, reason);
@@ -241,15 +241,15 @@
     if let Err(error) = &result {
         log::debug!("connection ended number={} {error}", registration.number);
     }
-    let unanswered = connection.unanswered().filter(|_| result.is_ok());
+    let unanswered = connection.unanswered_request_id().filter(|_| result.is_ok());
     front.closed(&ClosedConnection { number: registration.number, reason, unanswered });
-    connection.leave();
+    connection.mark_closing();
     // Closed over bytes that were not read the connection would be reset, and what was written last go with it. On one
     // that rested nothing was written last, and what has come is a request: read and not answered it would be lost, while
     // its client sends it again after a reset. One that lingered in the place that another is to have would have that
     // one closed without a word.
-    let unread = connection.in_request() || connection.has_news();
-    if unread && !reason.is_of_resting() && !connection.is_awaited() {
+    let unread = connection.in_request() || connection.has_unread_input();
+    if unread && !reason.is_of_resting() && !connection.is_slot_awaited() {
         linger(&connection.stream, limits.buffer).await;
     }
 }
@@ -266,7 +266,7 @@
     if phase.wait_for(|phase| *phase == Phase::Away || phase.is_closed()).await.is_err() {
         return std::future::pending().await;
     }
-    while !connection.is_answering() && (connection.in_request() || connection.has_news()) {
+    while !connection.is_answering() && (connection.in_request() || connection.has_unread_input()) {
         tokio::time::sleep(NEWS_EVERY).await;
     }
 }
