--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,6 +1,7 @@
-//! Discovery's watch: each call waits for what is newer than the last answer. It moves when it is told
-//! another address, and goes on at the old one until the new one has answered and is not behind: an older
-//! revision has nothing to tell of what was told since, so the engines known stay in use.
+//! The discovery client. A watch is a sequence of long-poll calls, each of which waits for a list that is
+//! newer than the last response. When another discovery address is configured, the watch connects there but
+//! keeps following the old address until the new one has responded with a revision that is not older than the
+//! last one applied. An older revision lacks later changes, so the known engines stay in use meanwhile.
 
 use super::backoff::{Asking, Backoff, GRACE, Opening};
 use super::pool::{Channel, Pool, PoolLimits};
@@ -18,18 +19,22 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// How long a watch may wait for news. With the grace it is a second less than the 6 s after which, by the
-/// protocol, what a silent watch misses counts as told: the next one has to be open and answered by then.
-const WAIT: Duration = Duration::from_secs(3);
-/// How long the call that opens a watch may wait for news.
-const FIRST_WAIT: Duration = Duration::from_secs(1);
-/// How long a new address may be behind what was told before. By the protocol all that there is to tell has
-/// been told by then: a lower revision is another history, and its list counts.
-const BEHIND: Duration = Duration::from_secs(6);
-const LIST_BYTES: usize = 4 << 20;
-const BUFFER: usize = 64 << 10;
+/// Maximum time a long-poll call waits for an update. Together with `GRACE` it is one second less than the 6
+/// s after which the protocol counts a change as announced even if a silent connection lost it: the next call
+/// must be open and answered by then.
+const MAX_WAIT: Duration = Duration::from_secs(3);
+/// Maximum time the call that opens a watch waits for an update.
+const FIRST_MAX_WAIT: Duration = Duration::from_secs(1);
+/// Maximum time a new address may report an older revision than the last one applied. By then the protocol
+/// counts every change as announced, so a lower revision belongs to another history, and its list is
+/// accepted.
+const BEHIND_TIMEOUT: Duration = Duration::from_secs(6);
+/// Maximum size of a response, in bytes.
+const MAX_LIST_BYTES: usize = 4 << 20;
+/// Size of a connection's read buffer, in bytes.
+const BUFFER_BYTES: usize = 64 << 10;
 
-/// A watch at one address.
+/// A watch at one discovery address.
 struct Source {
     address: Arc<str>,
     pool: Rc<Pool>,
@@ -40,31 +45,37 @@
 
 impl Source {
     fn new(address: Arc<str>, backoff: Backoff) -> Self {
-        let limits =
-            PoolLimits { connections: 2, reserved: 0, buffer: BUFFER, dial_timeout: GRACE, idle: WAIT };
+        let limits = PoolLimits {
+            connections: 2,
+            reserved: 0,
+            buffer: BUFFER_BYTES,
+            dial_timeout: GRACE,
+            idle: MAX_WAIT,
+        };
         Self { address, pool: Pool::new(limits), channel: None, revision: None, backoff }
     }
 
-    /// Asks for what is new, or for all. A watch that is open is renewed; else it is opened, with less patience and
-    /// a shorter wait for news: nothing shows yet that anybody listens there.
-    async fn ask(&mut self, open: bool) -> Result<List, AttemptError> {
-        let (wait, patience) =
-            if open { (WAIT, WAIT + GRACE) } else { (FIRST_WAIT, self.backoff.patience()) };
+    /// Requests the changes since the known revision, or the whole list. On an open watch the call is a
+    /// renewal. A call that opens a watch has a shorter timeout and a shorter wait for updates, since nothing
+    /// shows yet that a server listens at the address.
+    async fn request_update(&mut self, open: bool) -> Result<List, AttemptError> {
+        let (wait, call_timeout) =
+            if open { (MAX_WAIT, MAX_WAIT + GRACE) } else { (FIRST_MAX_WAIT, self.backoff.patience()) };
         let path = match self.revision {
             None => "/v1/endpoints".to_owned(),
             Some(rev) => format!("/v1/endpoints?index={rev}&wait={}", wait.as_millis()),
         };
         let request = Request::get(path).header(HOST, &*self.address).body(Full::new(Bytes::new()));
         let request = request.map_err(|e| AttemptError::new(Progress::Unconnected, e))?;
-        let kept = self.channel.take();
+        let open_channel = self.channel.take();
         let call = async {
-            let mut channel = match kept {
+            let mut channel = match open_channel {
                 Some(channel) => channel,
                 None => self.pool.take(&self.address).await?,
             };
             let answer = channel.send(request, 0, WriteWatch::default()).await?;
             let status = answer.status();
-            let body = Limited::new(answer.into_body(), LIST_BYTES).collect().await;
+            let body = Limited::new(answer.into_body(), MAX_LIST_BYTES).collect().await;
             let body = body.map_err(|e| AttemptError::new(Progress::Written, e))?.to_bytes();
             if !status.is_success() {
                 return Err(AttemptError::new(Progress::Written, format!("status {status}")));
@@ -73,48 +84,56 @@
             let list = serde_json::from_slice(&body).map_err(|e| AttemptError::new(Progress::Written, e))?;
             Ok((list, channel))
         };
-        let late = |_| Err(AttemptError::new(Progress::TimedOut, "silent"));
-        // The dial is part of the call: one that does not come up is as silent as an answer that does not.
-        let (list, channel) = tokio::time::timeout(patience, call).await.unwrap_or_else(late)?;
+        let timed_out = |_| Err(AttemptError::new(Progress::TimedOut, "no response in time"));
+        // The timeout includes the dial: a connection that is not established is treated like a missing
+        // response.
+        let (list, channel) = tokio::time::timeout(call_timeout, call).await.unwrap_or_else(timed_out)?;
         self.channel = Some(channel);
         Ok(list)
     }
 
-    /// Hands on every answer that tells something, for as long as somebody listens. A source that knows a
-    /// revision opens its watch from there.
+    /// Sends every response that carries an update to the channel until its receiver is dropped. A source
+    /// that knows a revision opens its watch from that revision.
     async fn run(mut self, opening: Opening, number: u64, lists: mpsc::Sender<(u64, List)>) {
         tokio::time::sleep(self.backoff.begin(opening)).await;
         let mut open = false;
         loop {
-            let began = Instant::now();
-            match self.ask(open).await {
+            let call_started = Instant::now();
+            match self.request_update(open).await {
                 Ok(list) if !list.all && self.revision.is_some_and(|known| list.rev < known) => {
-                    // Its changes apply to another list than the one that is known.
-                    log::warn!("discovery at={} steps back rev={}: asked for all", self.address, list.rev);
+                    // These changes apply to another list than the known one.
+                    log::warn!(
+                        "discovery at={} revision went backwards rev={}: requesting the whole list",
+                        self.address,
+                        list.rev
+                    );
                     self.revision = None;
-                    tokio::time::sleep(self.backoff.failed(began.elapsed()).0).await;
+                    tokio::time::sleep(self.backoff.failed(call_started.elapsed()).0).await;
                 }
                 Ok(list) => {
-                    // The first answer tells, also where it is empty, that this address can be followed.
-                    let first = !std::mem::replace(&mut open, true);
+                    // The first response is always sent on, even if it is empty: it shows that this address
+                    // can be followed.
+                    let first_response = !std::mem::replace(&mut open, true);
                     let failures = self.backoff.answered();
                     if failures > 0 {
-                        log::info!("discovery answers again at={} after failures={failures}", self.address);
+                        log::info!("discovery responds again at={} after failures={failures}", self.address);
                     }
                     self.revision = Some(list.rev);
-                    let tells = first || list.all || !list.targets.is_empty();
-                    if tells && lists.send((number, list)).await.is_err() {
+                    let has_update = first_response || list.all || !list.targets.is_empty();
+                    if has_update && lists.send((number, list)).await.is_err() {
                         return;
                     }
                 }
                 Err(error) => {
-                    let (pause, first) = self.backoff.failed(began.elapsed());
-                    // A watch that fell silent is broken, and the service may be well: what it misses counts as
-                    // told soon. Gateways notice it at moments of their own.
-                    let silent = std::mem::take(&mut open) && error.progress == Progress::TimedOut;
-                    let pause = if silent { Duration::ZERO } else { pause };
-                    // One line for each outage, not one for each call in it.
-                    let level = if first { log::Level::Warn } else { log::Level::Debug };
+                    let (pause, first_failure) = self.backoff.failed(call_started.elapsed());
+                    // A timeout on an open watch means that its connection is broken, while the service may
+                    // be healthy. A change lost with the connection soon counts as announced, so the next
+                    // call follows at once. Gateways detect such a timeout at different moments, so these
+                    // calls do not coincide.
+                    let watch_timed_out = std::mem::take(&mut open) && error.progress == Progress::TimedOut;
+                    let pause = if watch_timed_out { Duration::ZERO } else { pause };
+                    // Only the first failure of an outage is logged as a warning, not every failed call.
+                    let level = if first_failure { log::Level::Warn } else { log::Level::Debug };
                     log::log!(level, "discovery at={} {error}", self.address);
                     tokio::time::sleep(pause).await;
                 }
@@ -123,37 +142,39 @@
     }
 }
 
-/// A watch at the address that was told last.
+/// A watch at the discovery address that was configured last.
 pub struct Watch {
     names: Names,
     numbers: Numbers,
-    /// The list as the gateway held it last, until it is handed on.
+    /// The list that the gateway last persisted, until it is passed on as the first change.
     known: Option<List>,
     address: watch::Receiver<Arc<str>>,
     asking: Asking,
-    /// Sources with their numbers; all but the newest end once that one has answered.
+    /// Sources with their numbers; once the newest has responded, all older ones are stopped.
     sources: Vec<(u64, AbortHandle)>,
-    begun: u64,
-    /// The revision of what was handed on last, once anything was.
+    /// The number of the newest source.
+    newest_source: u64,
+    /// The revision of the last applied list, if any.
     revision: Option<u64>,
-    /// The newest source, once it was found behind, and when that is no longer believed of it.
+    /// The newest source if its revision is older than the applied one, and the time until which its list is
+    /// rejected.
     behind: Option<(u64, Instant)>,
-    /// The source whose list counts whatever its revision.
-    believed: u64,
+    /// The source whose list is accepted whatever its revision.
+    accepted_source: u64,
     lists: mpsc::Receiver<(u64, List)>,
-    found: mpsc::Sender<(u64, List)>,
+    list_sender: mpsc::Sender<(u64, List)>,
 }
 
 impl Watch {
-    /// A watch that begins with what is known and then asks, at the address that is told last, for the whole
-    /// list, or at a shared service for what has changed since.
+    /// Creates a watch that starts with the known list. It then requests the whole list at the address
+    /// configured last, or, at a shared service, only the changes since the known list.
     pub fn new(
         address: watch::Receiver<Arc<str>>,
         names: Names,
         known: Option<List>,
         asking: Asking,
     ) -> Self {
-        let (found, lists) = mpsc::channel(1);
+        let (list_sender, lists) = mpsc::channel(1);
         let numbers = Numbers::default();
         let mut watch = Self {
             names,
@@ -162,76 +183,84 @@
             address,
             asking,
             sources: Vec::new(),
-            begun: 0,
+            newest_source: 0,
             revision: None,
             behind: None,
-            believed: 0,
+            accepted_source: 0,
             lists,
-            found,
+            list_sender,
         };
-        let known = watch.known.as_ref().map(|known| known.rev);
-        watch.begin(known.map_or(Opening::Blank, |_| Opening::Known), known);
+        let known_revision = watch.known.as_ref().map(|known| known.rev);
+        watch.open_source(known_revision.map_or(Opening::Blank, |_| Opening::Known), known_revision);
         watch
     }
 
-    /// Begins at the address that was told last, from a revision if one is known.
-    fn begin(&mut self, opening: Opening, from: Option<u64>) {
-        self.begun += 1;
-        let seed = self.asking.seed.wrapping_add(self.begun);
+    /// Opens a watch at the address configured last, starting from the given revision if there is one.
+    fn open_source(&mut self, opening: Opening, from_revision: Option<u64>) {
+        self.newest_source += 1;
+        let seed = self.asking.seed.wrapping_add(self.newest_source);
         let mut source = Source::new(
             self.address.borrow_and_update().clone(),
             Backoff::new(Asking { seed, ..self.asking }),
         );
-        // At a shared service a whole list costs each of its lines, and gateways that start together would wait
-        // for each other's: what has changed since the list that is known is enough. An agent's list is free.
-        source.revision = from.filter(|_| self.asking.shared);
-        let task = tokio::task::spawn_local(source.run(opening, self.begun, self.found.clone()));
-        self.sources.push((self.begun, task.abort_handle()));
+        // At a shared service a whole list costs work for each of its lines, and gateways that start together
+        // would queue behind each other's requests, so only the changes since the known list are requested.
+        // An agent serves this gateway alone, so its whole list costs nobody else anything.
+        source.revision = from_revision.filter(|_| self.asking.shared);
+        let task =
+            tokio::task::spawn_local(source.run(opening, self.newest_source, self.list_sender.clone()));
+        self.sources.push((self.newest_source, task.abort_handle()));
     }
 
-    /// Whether an answer tells less than was told: it comes from an address that is not followed yet.
-    /// Gives the revision that was told.
-    fn behind_what(&self, number: u64, list: &List) -> Option<u64> {
+    /// Returns the applied revision if a response is older than it and comes from an address that is not
+    /// followed yet.
+    fn applied_if_older(&self, number: u64, list: &List) -> Option<u64> {
         let followed = self.sources.first().is_some_and(|(oldest, _)| number <= *oldest);
-        self.revision.filter(|known| !followed && number != self.believed && list.rev < *known)
+        self.revision.filter(|known_revision| {
+            !followed && number != self.accepted_source && list.rev < *known_revision
+        })
     }
 
-    /// What counts of an answer that is behind: drains do, whoever tells of them. Nothing comes back into use
-    /// by it and nothing that it lacks is gone.
-    fn of_behind(&mut self, number: u64, known: u64, mut list: List) -> Option<Change> {
+    /// Returns the part of an older response that is applied: drains are, whichever address reports them. It
+    /// puts no engine back into use and removes none that it lacks.
+    fn change_from_older(&mut self, number: u64, known_revision: u64, mut list: List) -> Option<Change> {
         if self.behind.is_none_or(|(source, _)| source != number) {
-            log::warn!("discovery is behind rev={} known={known}: engines known stay", list.rev);
-            self.behind = Some((number, Instant::now() + BEHIND));
+            log::warn!(
+                "discovery reports an older revision rev={} known={known_revision}: known engines stay in use",
+                list.rev
+            );
+            self.behind = Some((number, Instant::now() + BEHIND_TIMEOUT));
         }
         list.targets.retain(|target| !target.is_serving() && self.numbers.knows(target));
-        (list.rev, list.all) = (known, false);
+        (list.rev, list.all) = (known_revision, false);
         (!list.targets.is_empty()).then(|| list.change(&self.names, &mut self.numbers))
     }
 
-    /// An address that stays behind is believed: it is asked for its whole list again.
-    fn believe(&mut self) {
-        let Some((number, _)) = self.behind.take().filter(|(number, _)| *number == self.begun) else {
+    /// Accepts the list of an address that still reports an older revision after `BEHIND_TIMEOUT`, by
+    /// requesting its whole list again.
+    fn accept_older_list(&mut self) {
+        let Some((number, _)) = self.behind.take().filter(|(number, _)| *number == self.newest_source) else {
             return;
         };
-        let known = self.revision.unwrap_or(0);
-        log::warn!("discovery stays behind, its list counts from now on known={known}");
+        let known_revision = self.revision.unwrap_or(0);
+        log::warn!("discovery still reports an older revision, accepting its list known={known_revision}");
         self.sources.retain(|(source, task)| {
             if *source == number {
                 task.abort();
             }
             *source != number
         });
-        self.begin(Opening::Moved, None);
-        self.believed = self.begun;
+        self.open_source(Opening::Moved, None);
+        self.accepted_source = self.newest_source;
     }
 
-    /// Whether an answer of that source counts; if so those before it have had their time.
+    /// Returns true if responses of the given source are accepted; if so, all older sources are stopped.
     fn accept(&mut self, number: u64) -> bool {
-        // One that was given up may have left a list: nothing follows from that.
-        let Some(before) = self.sources.iter().position(|(source, _)| *source == number) else {
+        // A stopped source may have left a list in the channel, which is ignored.
+        let Some(older_sources) = self.sources.iter().position(|(source, _)| *source == number) else {
             return false;
         };
-        self.sources.drain(..before).for_each(|(_, task)| task.abort());
+        self.sources.drain(..older_sources).for_each(|(_, task)| task.abort());
         true
     }
 }
@@ -250,11 +279,11 @@
             return Some(known.change(&self.names, &mut self.numbers));
         }
         loop {
-            let until = self.behind.map_or_else(Instant::now, |(_, until)| until);
+            let rejected_until = self.behind.map_or_else(Instant::now, |(_, until)| until);
             tokio::select! {
                 Some((number, list)) = self.lists.recv() => {
-                    if let Some(known) = self.behind_what(number, &list) {
-                        if let Some(change) = self.of_behind(number, known, list) {
+                    if let Some(known_revision) = self.applied_if_older(number, &list) {
+                        if let Some(change) = self.change_from_older(number, known_revision, list) {
                             return Some(change);
                         }
                     } else if self.accept(number) {
@@ -263,12 +292,12 @@
                     }
                 }
                 Ok(()) = self.address.changed() => {
-                    log::info!("discovery moves to={}", *self.address.borrow());
-                    // Without a list so far there is nothing to go on from.
+                    log::info!("discovery address changed to={}", *self.address.borrow());
+                    // Without a list so far there is no revision to continue from.
                     let opening = self.revision.map_or(Opening::Blank, |_| Opening::Moved);
-                    self.begin(opening, self.revision);
+                    self.open_source(opening, self.revision);
                 }
-                () = tokio::time::sleep_until(until), if self.behind.is_some() => self.believe(),
+                () = tokio::time::sleep_until(rejected_until), if self.behind.is_some() => self.accept_older_list(),
             }
         }
     }
