--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -7,8 +7,8 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// How long after an accept that found no room the next is tried, and how often one is tried as the gateway closes.
-pub(super) const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-const ACCEPT_TRIES: usize = 25;
+pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+const MAX_ACCEPT_TRIES: usize = 25;
 
 /// What a failed accept says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,8 +35,8 @@
 
 /// A connection that the system has accepted and nobody has taken yet. The system is asked itself: the runtime may not
 /// have been told of it so far.
-pub(super) async fn waiting(listener: &TcpListener) -> Option<TcpStream> {
-    for _ in 0..ACCEPT_TRIES {
+pub(super) async fn accept_pending(listener: &TcpListener) -> Option<TcpStream> {
+    for _ in 0..MAX_ACCEPT_TRIES {
         let accepted = SockRef::from(listener).accept().and_then(|(socket, _)| {
             socket.set_nonblocking(true)?;
             TcpStream::from_std(socket.into())
@@ -46,7 +46,7 @@
             Err(error) => match AcceptFailure::from(&error) {
                 AcceptFailure::NoneWaiting => return None,
                 AcceptFailure::OneConnection => {}
-                AcceptFailure::NoRoom => tokio::time::sleep(ACCEPT_AGAIN).await,
+                AcceptFailure::NoRoom => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
         }
     }
--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -7,19 +7,19 @@
 use tokio::net::TcpStream;
 
 /// How long a connection that was asked to close may take to write out what it has.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long what a client still sends after its answer is read.
-const LINGER: Duration = Duration::from_millis(1500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// What an order to close finds a connection doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Closing {
     /// A request is being answered, or something has come that was not read: it stays open.
-    Stays,
+    StaysOpen,
     /// A request has come in part: its client is told that its time is over.
-    CutsRequest,
+    InterruptsRequest,
     /// It rests between two requests, or none ever came.
-    Rests,
+    IsIdle,
 }
 
 impl Closing {
@@ -27,14 +27,14 @@
     pub(super) fn of(connection: &Connection) -> Self {
         if connection.is_answering() {
             // Its request was read in the very turn in which the order came.
-            Self::Stays
+            Self::StaysOpen
         } else if connection.in_request() {
-            Self::CutsRequest
+            Self::InterruptsRequest
         } else if connection.has_unread_input() {
             // A request or the client's own close crossed the order.
-            Self::Stays
+            Self::StaysOpen
         } else {
-            Self::Rests
+            Self::IsIdle
         }
     }
 }
@@ -70,7 +70,7 @@
     }
 
     /// Whether the connection rested between two requests: what comes on it then was not read.
-    pub(super) fn is_of_resting(self) -> bool {
+    pub(super) fn was_idle(self) -> bool {
         matches!(self, Self::Idle | Self::MadeRoom | Self::SentAway)
     }
 }
@@ -87,8 +87,8 @@
 }
 
 /// Lets a connection that rests, and was told to shut down, end in order.
-pub(super) async fn last_words<T, E>(served: impl Future<Output = Result<T, E>>) -> Result<(), E> {
-    match tokio::time::timeout(LAST_WORDS, served).await {
+pub(super) async fn finish_shutdown<T, E>(served: impl Future<Output = Result<T, E>>) -> Result<(), E> {
+    match tokio::time::timeout(SHUTDOWN_TIMEOUT, served).await {
         Ok(Err(error)) => Err(error),
         Ok(Ok(_)) | Err(_) => Ok(()),
     }
@@ -111,5 +111,5 @@
         }
     };
     // Whoever sends for longer has had its answer.
-    let _ = tokio::time::timeout(LINGER, drained).await;
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, drained).await;
 }
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -46,7 +46,7 @@
     /// It is served.
     Served(Registration),
     /// It is told that there is no room.
-    Turned(Registration),
+    OverLimit(Registration),
     /// There is not even room to tell it.
     None,
 }
@@ -90,7 +90,7 @@
         self.next.set(number + 1);
         self.all.borrow_mut().insert(number, connection.clone());
         let registration = Registration { connections: self.clone(), number, connection };
-        if full { Room::Turned(registration) } else { Room::Served(registration) }
+        if full { Room::OverLimit(registration) } else { Room::Served(registration) }
     }
 
     /// Has the connection that is missed least closed where room is short. Whether there is none left.
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -1,7 +1,8 @@
-//! The server side: connections of clients, bounded, each with a task of its own where panics stop.
+//! The server side: a bounded number of client connections, each served by its own task, which isolates
+//! panics.
 
-use super::accept::{ACCEPT_AGAIN, AcceptFailure, waiting};
-use super::closing::{CloseReason, ClosedConnection, Closing, last_words, linger};
+use super::accept::{ACCEPT_RETRY_DELAY, AcceptFailure, accept_pending};
+use super::closing::{CloseReason, ClosedConnection, Closing, finish_shutdown, linger};
 use super::connection::{ClientBody, ClientStream, Connection, RequestInProgress};
 use super::engines::HttpEvents;
 use super::eviction::{Connections, Registration, Room, ServeLimits};
@@ -22,64 +23,65 @@
 use tokio::sync::watch;
 use tokio::time::MissedTickBehavior;
 
-/// How long what was sent to a client may stay untaken.
-const UNREAD: Duration = Duration::from_secs(30);
-/// How often quiet connections are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// How often it is looked whether a request that crosses the close of its connection has come.
-const NEWS_EVERY: Duration = Duration::from_millis(2);
-/// What a client is told whose request does not come to its end.
-const REQUEST_TIMEOUT: &[u8] =
+/// Maximum time a client may leave a response unread before the connection is closed.
+const CLIENT_READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which connections are checked for timeouts.
+const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which a connection that is to close is checked for a request that arrived at the same moment.
+const UNREAD_CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// The response to a request that does not arrive completely in time.
+const REQUEST_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// How far a planned stop has come.
+/// The stages of a planned shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Not asked to stop.
+    /// Not asked to shut down.
     Serving,
-    /// Operators send clients away: no longer ready, but still serving as before.
+    /// An operator has started a drain: readiness checks fail, but requests are served as before.
     Draining,
-    /// The same a little later: connections close after the answer in hand, new ones after their first.
+    /// Later in a drain: connections close after the response in progress, new connections after their first.
     Away,
-    /// Asked to stop; new connections and requests are still served.
+    /// Asked to shut down; new connections and requests are still served.
     Leaving,
-    /// Connections close after the answer in hand.
+    /// No new connections; open ones close after the response in progress.
     Closing,
-    /// The same where another process takes clients on the same socket: what waits there is left to it.
+    /// Like `Closing`, but another process accepts clients on the same socket: connections that were not
+    /// accepted yet are left to that process.
     Superseded,
-    /// All that was taken has its answer; what still comes is ended.
+    /// Every accepted request has its response; all remaining connections are closed.
     Ended,
 }
 
 impl Phase {
-    /// Whether the process was asked to stop.
+    /// Returns true if the process was asked to shut down.
     pub fn is_stop(self) -> bool {
         matches!(self, Self::Leaving | Self::Closing | Self::Superseded | Self::Ended)
     }
 
-    /// Whether new connections are no longer taken.
-    fn is_closed(self) -> bool {
+    /// Returns true if new connections are no longer accepted.
+    fn stops_accepting(self) -> bool {
         matches!(self, Self::Closing | Self::Superseded | Self::Ended)
     }
 }
 
-/// What answers requests.
+/// A protocol front end, which handles requests.
 pub trait Front: 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(&self, request: Request<Incoming>) -> impl Future<Output = Response<FrontBody>>;
-    /// Turns a request away because there are too many connections.
+    /// Refuses a request because there are too many connections.
     fn too_many(&self, request: &Request<Incoming>) -> Response<FrontBody>;
-    /// Turns a request away whose head gives two lengths that contradict each other.
+    /// Refuses a request whose head gives both a length and a transfer encoding.
     fn contradicting(&self) -> Response<FrontBody>;
-    /// A connection was closed.
+    /// Called when a connection was closed.
     fn closed(&self, _: &ClosedConnection) {}
 }
 
-/// The body of an answer.
+/// The body of a response.
 pub enum FrontBody {
-    /// In one piece.
+    /// A complete body in one piece.
     Whole(Option<Bytes>),
-    /// As an engine makes it.
+    /// A stream that is passed on as an engine produces it.
     Relay(Box<Relay<HttpEvents>>),
 }
 
@@ -93,7 +95,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, AttemptError>>> {
         match self.get_mut() {
             Self::Whole(body) => Poll::Ready(body.take().map(|body| Ok(Frame::data(body)))),
-            Self::Relay(relay) => relay.poll_piece(context).map(|p| p.map(|p| p.map(Frame::data))),
+            Self::Relay(relay) => relay.poll_piece(context).map(|piece| piece.map(|r| r.map(Frame::data))),
         }
     }
 
@@ -111,7 +113,7 @@
     }
 }
 
-/// Serves until the stop has come to its close and every connection has ended.
+/// Accepts and serves connections until the shutdown phase stops accepting and every connection has ended.
 pub async fn serve<F: Front>(
     listener: TcpListener,
     front: Rc<F>,
@@ -119,43 +121,50 @@
     mut phase: watch::Receiver<Phase>,
 ) {
     let connections = Connections::new(limits);
-    let mut look = tokio::time::interval(LOOK_EVERY);
-    look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut overdue_check = tokio::time::interval(OVERDUE_CHECK_INTERVAL);
+    overdue_check.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let phases = phase.clone();
-    let start = async |stream| {
-        let (registration, over) = match connections.take(stream).await {
+    let start_connection = async |stream| {
+        let (registration, over_limit) = match connections.take(stream).await {
             Room::Served(registration) => (registration, false),
-            Room::Turned(registration) => (registration, true),
-            Room::None => return log::debug!("no room for a connection"),
+            Room::OverLimit(registration) => (registration, true),
+            Room::None => return log::debug!("connection closed: too many connections"),
         };
-        tokio::task::spawn_local(serve_connection(registration, front.clone(), over, limits, phases.clone()));
+        tokio::task::spawn_local(serve_connection(
+            registration,
+            front.clone(),
+            over_limit,
+            limits,
+            phases.clone(),
+        ));
     };
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = phase.wait_for(|phase| phase.is_closed()) => break,
-            _ = look.tick() => {
+            _ = phase.wait_for(|phase| phase.stops_accepting()) => break,
+            _ = overdue_check.tick() => {
                 connections.close_overdue();
                 continue;
             }
         };
         match accepted {
-            Ok((stream, _)) => start(stream).await,
+            Ok((stream, _)) => start_connection(stream).await,
             Err(error) => match AcceptFailure::from(&error) {
                 AcceptFailure::OneConnection | AcceptFailure::NoneWaiting => {
-                    log::debug!("accept failed for one connection {error}");
+                    log::debug!("accept failed for a single connection {error}");
                 }
                 AcceptFailure::NoRoom => {
                     log::warn!("accept failed {error}");
-                    tokio::time::sleep(ACCEPT_AGAIN).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
         }
     }
     if *phase.borrow() == Phase::Closing {
-        // The system has accepted these; closed with the listener they would be reset, and their requests lost.
-        while let Some(stream) = waiting(&listener).await {
-            start(stream).await;
+        // The kernel has already accepted these connections; closing the listener would reset them and lose
+        // their requests.
+        while let Some(stream) = accept_pending(&listener).await {
+            start_connection(stream).await;
         }
     }
     drop(listener);
@@ -171,42 +180,44 @@
 async fn serve_connection<F: Front>(
     registration: Registration,
     front: Rc<F>,
-    over: bool,
+    over_limit: bool,
     limits: ServeLimits,
     mut phase: watch::Receiver<Phase>,
 ) {
     let connection = registration.connection.clone();
-    // A client that has vanished, or reads no more, must not hold its connection and stream for good.
-    let set = connection.stream.set_nodelay(true);
-    let set = set.and_then(|()| SockRef::from(&*connection.stream).set_tcp_user_timeout(Some(UNREAD)));
-    if let Err(error) = set {
+    // A client that has vanished or no longer reads must not hold its connection and stream forever.
+    let configured = connection.stream.set_nodelay(true);
+    let configured = configured
+        .and_then(|()| SockRef::from(&*connection.stream).set_tcp_user_timeout(Some(CLIENT_READ_TIMEOUT)));
+    if let Err(error) = configured {
         log::debug!("connection {error}");
     }
     let service = service_fn(|request| {
         let (front, framing) = (front.clone(), connection.next_framing());
-        let answering = RequestInProgress::new(connection.clone(), request_id(&request));
+        let in_progress = RequestInProgress::new(connection.clone(), request_id(&request));
         let connection = connection.clone();
         async move {
             let mut response = match framing {
-                _ if over => front.too_many(&request),
+                _ if over_limit => front.too_many(&request),
                 Framing::Both => front.contradicting(),
-                // Looked at first each time: nothing is begun for a client that has gone.
+                // The disconnect is polled first each time, so that no work starts for a client that has
+                // left.
                 Framing::Length | Framing::Chunks => tokio::select! {
                     biased;
-                    gone = connection.wait_for_disconnect() => return Err(gone),
+                    disconnected = connection.wait_for_disconnect() => return Err(disconnected),
                     response = front.handle(request) => response,
                 },
             };
             if framing != Framing::Length {
-                // Where its body ends is not known here: nothing behind it is taken for a request.
+                // The end of the body is not known here, so nothing after it may be parsed as a request.
                 response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            Ok(response.map(|body| ClientBody::new(body, answering)))
+            Ok(response.map(|body| ClientBody::new(body, in_progress)))
         }
     });
-    let mut ending = *phase.borrow() == Phase::Away;
+    let mut shutting_down = *phase.borrow() == Phase::Away;
     let mut builder = hyper::server::conn::http1::Builder::new();
-    builder.timer(TokioTimer::new()).max_buf_size(limits.buffer).keep_alive(!over && !ending);
+    builder.timer(TokioTimer::new()).max_buf_size(limits.buffer).keep_alive(!over_limit && !shutting_down);
     let io = TokioIo::new(ClientStream(connection.clone()));
     let mut served = std::pin::pin!(builder.serve_connection(io, service));
     let (result, reason) = loop {
@@ -215,25 +226,25 @@
                 let reason = if result.is_ok() { CloseReason::Answered } else { CloseReason::Client };
                 break (result, reason);
             }
-            () = sent_away(&mut phase, &connection), if !ending => {
-                ending = true;
+            () = wait_to_send_away(&mut phase, &connection), if !shutting_down => {
+                shutting_down = true;
                 served.as_mut().graceful_shutdown();
                 if !connection.is_answering() {
-                    break (last_words(served.as_mut()).await, CloseReason::SentAway);
+                    break (finish_shutdown(served.as_mut()).await, CloseReason::SentAway);
                 }
             }
             () = connection.wait_for_close_request() => match Closing::of(&connection) {
-                Closing::Stays => connection.cancel_close(),
-                Closing::CutsRequest => {
-                    // Nothing is being answered, so nothing else is being written.
-                    drop(connection.stream.try_write(REQUEST_TIMEOUT));
+                Closing::StaysOpen => connection.cancel_close(),
+                Closing::InterruptsRequest => {
+                    // No request is being answered, so nothing else is being written.
+                    drop(connection.stream.try_write(REQUEST_TIMEOUT_RESPONSE));
                     break (Ok(()), CloseReason::RequestTimeout);
                 }
-                Closing::Rests => {
-                    let awaited = connection.is_slot_awaited();
-                    let reason = if awaited { CloseReason::MadeRoom } else { CloseReason::Idle };
+                Closing::IsIdle => {
+                    let slot_awaited = connection.is_slot_awaited();
+                    let reason = if slot_awaited { CloseReason::MadeRoom } else { CloseReason::Idle };
                     served.as_mut().graceful_shutdown();
-                    break (last_words(served.as_mut()).await, reason);
+                    break (finish_shutdown(served.as_mut()).await, reason);
                 }
             }
         }
@@ -244,29 +255,31 @@
     let unanswered = connection.unanswered_request_id().filter(|_| result.is_ok());
     front.closed(&ClosedConnection { number: registration.number, reason, unanswered });
     connection.mark_closing();
-    // Closed over bytes that were not read the connection would be reset, and what was written last go with it. On one
-    // that rested nothing was written last, and what has come is a request: read and not answered it would be lost, while
-    // its client sends it again after a reset. One that lingered in the place that another is to have would have that
-    // one closed without a word.
-    let unread = connection.in_request() || connection.has_unread_input();
-    if unread && !reason.is_of_resting() && !connection.is_slot_awaited() {
+    // Closing a socket with unread bytes resets the connection, and the response written last would be lost
+    // with it, so the rest is read first. An idle connection has no such response, and its unread bytes are a
+    // new request: read but not answered it would be lost, while after a reset the client sends it again. If
+    // a connection lingered while another waits for its slot, that other one would be closed without a
+    // response.
+    let has_unread = connection.in_request() || connection.has_unread_input();
+    if has_unread && !reason.was_idle() && !connection.is_slot_awaited() {
         linger(&connection.stream, limits.buffer).await;
     }
 }
 
-/// The id that a client gave its request, for the log.
+/// Returns the id that the client gave its request, for the log.
 fn request_id(request: &Request<Incoming>) -> &str {
     request.headers().get("req-id").and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
 
-/// Waits until connections are to close after the answer in hand, and no request has come on this one, whole or in part:
-/// it would meet a reset. One that stops coming is given up as at any other time.
-async fn sent_away(phase: &mut watch::Receiver<Phase>, connection: &Connection) {
-    // Without a sender there is nobody to end what is served.
-    if phase.wait_for(|phase| *phase == Phase::Away || phase.is_closed()).await.is_err() {
+/// Waits until connections are to close after the response in progress and no request has arrived on this
+/// connection, completely or in part, since closing would reset it. A request that stalls times out as at any
+/// other time.
+async fn wait_to_send_away(phase: &mut watch::Receiver<Phase>, connection: &Connection) {
+    // Without a sender, nothing ends the connections that are being served.
+    if phase.wait_for(|phase| *phase == Phase::Away || phase.stops_accepting()).await.is_err() {
         return std::future::pending().await;
     }
     while !connection.is_answering() && (connection.in_request() || connection.has_unread_input()) {
-        tokio::time::sleep(NEWS_EVERY).await;
+        tokio::time::sleep(UNREAD_CHECK_INTERVAL).await;
     }
 }
