--- a/src/net/engines.rs
+++ b/src/net/engines.rs
@@ -1,4 +1,4 @@
-//! Engines over HTTP/1.1: attempts, their answers, and releases.
+//! Engines over HTTP/1.1: attempts, their responses, and releases.
 
 use super::events::Events;
 use super::pool::{Channel, Pool};
@@ -18,33 +18,33 @@
 use std::task::{Context, Poll};
 use tokio::time::Instant;
 
-/// Most bytes of an answer that says no more than a status does.
-const SHORT_BYTES: usize = 64 << 10;
+/// Maximum size of a response whose status alone matters, in bytes.
+const MAX_STATUS_BODY_BYTES: usize = 64 << 10;
 
-/// How a request is worked on.
+/// How engines process a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Manner {
-    /// First read, then answered as a stream of events.
+    /// A prefill step, then a decode step whose response is a stream of events.
     Staged,
-    /// Answered in one piece, whose list of that name holds so many entries.
+    /// A single step whose response is a JSON object with a list of results.
     Single {
-        /// The list's name.
+        /// The name of the list.
         list: &'static str,
-        /// Its entries; an answer with fewer is one in part.
+        /// Expected number of its entries; a response with fewer is incomplete.
         entries: usize,
     },
 }
 
-/// A request as engines are sent it.
+/// A request in the form in which it is sent to engines.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Path and query.
     pub path: String,
     /// The body.
     pub body: Bytes,
-    /// The key by which engines recognise a repeat of the request, as its client sent it.
+    /// The idempotency key that the client sent, by which engines recognise a repeat of the request.
     pub idempotency_key: Option<HeaderValue>,
-    /// How it is worked on.
+    /// How engines process the request.
     pub manner: Manner,
 }
 
@@ -52,22 +52,22 @@
 pub struct HttpEngines {
     pool: Rc<Pool>,
     load: LoadNames,
-    /// Whether engines hold state that must be let go.
+    /// True if engines hold KV-cache state that must be released.
     stateful: bool,
-    /// Most bytes of one answer.
+    /// Maximum size of one response, in bytes.
     answer_bytes: usize,
-    /// Attempts that were written whole.
+    /// Number of attempts whose request was written completely.
     tries: Rc<Cell<u64>>,
 }
 
 impl HttpEngines {
-    /// Engines that hold state between the stages of a request, or not, with answers of so many bytes at
-    /// most.
+    /// Creates the client. `stateful` is true if engines hold state between the stages of a request;
+    /// `answer_bytes` is the maximum size of a response in bytes.
     pub fn new(pool: Rc<Pool>, load: LoadNames, stateful: bool, answer_bytes: usize) -> Self {
         Self { pool, load, stateful, answer_bytes, tries: Rc::default() }
     }
 
-    /// Where the attempts that were written whole are counted.
+    /// Returns the counter of the attempts whose request was written completely.
     pub fn tries(&self) -> Rc<Cell<u64>> {
         self.tries.clone()
     }
@@ -86,12 +86,12 @@
 fn call_request<J: AsRef<Job>>(call: &Call<J>) -> Result<Request<Full<Bytes>>, AttemptError> {
     let job = (*call.job).as_ref();
     let mut request = request(Method::POST, &call.endpoint, &job.path, job.body.clone())?;
-    let lost = |e: hyper::header::InvalidHeaderValue| AttemptError::new(Progress::Unconnected, e);
+    let invalid_header = |e: hyper::header::InvalidHeaderValue| AttemptError::new(Progress::Unconnected, e);
     let headers = request.headers_mut();
-    headers.insert("req-id", call.id.0.parse().map_err(lost)?);
-    let left = call.deadline.saturating_duration_since(Instant::now());
-    let wait = format!("{}m", left.as_millis().max(1));
-    headers.insert("req-deadline", wait.parse().map_err(lost)?);
+    headers.insert("req-id", call.id.0.parse().map_err(invalid_header)?);
+    let remaining = call.deadline.saturating_duration_since(Instant::now());
+    let deadline = format!("{}m", remaining.as_millis().max(1));
+    headers.insert("req-deadline", deadline.parse().map_err(invalid_header)?);
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(key) = &job.idempotency_key {
         headers.insert("idempotency-key", key.clone());
@@ -105,46 +105,49 @@
     }
 }
 
-/// Reads an answer whole.
-async fn whole(channel: &Channel, body: Incoming, most: usize) -> Result<Bytes, AttemptError> {
-    let read = Limited::new(body, most).collect().await;
-    let lost = |e: Box<dyn std::error::Error + Send + Sync>| match e.downcast::<hyper::Error>() {
+/// Reads a response body to its end.
+async fn read_body(channel: &Channel, body: Incoming, max_bytes: usize) -> Result<Bytes, AttemptError> {
+    let read = Limited::new(body, max_bytes).collect().await;
+    let read_error = |e: Box<dyn std::error::Error + Send + Sync>| match e.downcast::<hyper::Error>() {
         Ok(error) => channel.lost(*error),
         Err(error) => AttemptError::new(Progress::Written, error),
     };
-    Ok(read.map_err(lost)?.to_bytes())
+    Ok(read.map_err(read_error)?.to_bytes())
 }
 
-/// Whether an answer proves that its request never ran. The mark has that meaning on these statuses alone.
+/// Returns true if a response proves that its request never ran. The header has that meaning only with these
+/// statuses.
 fn is_declined(status: StatusCode, headers: &HeaderMap) -> bool {
     let may_decline =
         matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE);
     may_decline && headers.get("srv-declined").is_some_and(|value| value.as_bytes() == b"1")
 }
 
-/// What an answer read whole means.
-fn meaning(manner: Manner, status: StatusCode, declined: bool, body: Bytes) -> Reply<HttpEvents> {
+/// Interprets a complete response.
+fn interpret(manner: Manner, status: StatusCode, declined: bool, body: Bytes) -> Reply<HttpEvents> {
     match (manner, status) {
         (_, StatusCode::GONE) if declined => Reply::Declined { no_state: true },
         _ if declined => Reply::Declined { no_state: false },
         (Manner::Staged, StatusCode::ACCEPTED) => {
-            let told: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-            let cached_tokens = told.get("cached_tokens").and_then(serde_json::Value::as_f64);
+            let json: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+            let cached_tokens = json.get("cached_tokens").and_then(serde_json::Value::as_f64);
             Reply::Read { cached_tokens: cached_tokens.unwrap_or(0.0).max(0.0) }
         }
         (Manner::Single { list, entries }, StatusCode::OK) => {
-            // A body without a length ends where its connection does: only its content shows it whole.
-            let told: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-            let whole = told.get(list).and_then(|list| list.as_array()).is_some_and(|l| l.len() == entries);
-            if whole { Reply::Whole(body) } else { Reply::Error }
+            // A body without a length ends when its connection closes, so only its content shows that it is
+            // complete.
+            let json: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+            let complete =
+                json.get(list).and_then(|list| list.as_array()).is_some_and(|l| l.len() == entries);
+            if complete { Reply::Whole(body) } else { Reply::Error }
         }
-        (Manner::Single { .. }, status) if is_fault(status) => Reply::Faulty(body),
+        (Manner::Single { .. }, status) if is_request_error(status) => Reply::Faulty(body),
         _ => Reply::Error,
     }
 }
 
-/// Whether the status says that the request itself is at fault, wherever it is sent.
-fn is_fault(status: StatusCode) -> bool {
+/// Returns true if the status says that the request itself is invalid, whichever engine receives it.
+fn is_request_error(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE | StatusCode::UNPROCESSABLE_ENTITY
@@ -159,7 +162,7 @@
         &self,
         call: Call<Job>,
     ) -> impl Future<Output = Result<Replied<HttpEvents>, AttemptError>> + 'static {
-        let (pool, names, most) = (self.pool.clone(), self.load.clone(), self.answer_bytes);
+        let (pool, names, max_bytes) = (self.pool.clone(), self.load.clone(), self.answer_bytes);
         let tries = self.tries.clone();
         async move {
             let mut channel = pool.take(&call.endpoint).await?;
@@ -169,21 +172,21 @@
             }
             let request = call_request(&call)?;
             let watch = WriteWatch { guard: Some(call.guard), tally: Some(tries) };
-            let answer = channel.send(request, call.job.body.len(), watch).await?;
-            let (head, body) = answer.into_parts();
+            let response = channel.send(request, call.job.body.len(), watch).await?;
+            let (head, body) = response.into_parts();
             let load = head.headers.get("srv-load").map_or(Load::default(), |l| names.read(l.as_bytes()));
             if call.job.manner == Manner::Staged && head.status == StatusCode::OK {
                 let connected = channel.opened;
-                let (events, line) = (Events::new(most), Some((pool, call.endpoint, channel)));
-                let events = HttpEvents { body: Some(body), events, line };
+                let (events, connection) = (Events::new(max_bytes), Some((pool, call.endpoint, channel)));
+                let events = HttpEvents { body: Some(body), events, connection };
                 return Ok(Replied { reply: Reply::Events(events), load, connected });
             }
-            let most = if call.job.manner == Manner::Staged { SHORT_BYTES } else { most };
-            let body = whole(&channel, body, most).await?;
+            let max_bytes = if call.job.manner == Manner::Staged { MAX_STATUS_BODY_BYTES } else { max_bytes };
+            let body = read_body(&channel, body, max_bytes).await?;
             let connected = channel.opened;
             pool.put(call.endpoint, channel);
             let declined = is_declined(head.status, &head.headers);
-            let reply = meaning(call.job.manner, head.status, declined, body);
+            let reply = interpret(call.job.manner, head.status, declined, body);
             Ok(Replied { reply, load, connected })
         }
     }
@@ -200,12 +203,12 @@
             }
             let request = request(Method::DELETE, &endpoint, &format!("/state/{}", id.0), Bytes::new())?;
             let mut channel = pool.take_for_release(&endpoint).await?;
-            let answer = channel.send(request, 0, WriteWatch::default()).await?;
-            let status = answer.status();
-            whole(&channel, answer.into_body(), SHORT_BYTES).await?;
+            let response = channel.send(request, 0, WriteWatch::default()).await?;
+            let status = response.status();
+            read_body(&channel, response.into_body(), MAX_STATUS_BODY_BYTES).await?;
             pool.put(endpoint, channel);
-            let refused = || AttemptError::new(Progress::Written, format!("status {status}"));
-            status.is_success().then_some(()).ok_or_else(refused)
+            let rejected = || AttemptError::new(Progress::Written, format!("status {status}"));
+            status.is_success().then_some(()).ok_or_else(rejected)
         }
     }
 
@@ -214,9 +217,9 @@
         async move {
             let request = request(Method::GET, &endpoint, "/status/load", Bytes::new())?;
             let mut channel = pool.take(&endpoint).await?;
-            let answer = channel.send(request, 0, WriteWatch::default()).await?;
-            let status = answer.status();
-            let body = whole(&channel, answer.into_body(), SHORT_BYTES).await?;
+            let response = channel.send(request, 0, WriteWatch::default()).await?;
+            let status = response.status();
+            let body = read_body(&channel, response.into_body(), MAX_STATUS_BODY_BYTES).await?;
             pool.put(endpoint, channel);
             let failed = || AttemptError::new(Progress::Written, format!("status {status}"));
             status.is_success().then(|| names.read(&body)).ok_or_else(failed)
@@ -228,19 +231,19 @@
     }
 }
 
-/// The events of a running answer.
+/// The events of a streaming response.
 pub struct HttpEvents {
-    /// What is still to come, until its end.
+    /// The rest of the body, until its end.
     body: Option<Incoming>,
     events: Events,
-    /// The connection, until the answer has ended.
-    line: Option<(Rc<Pool>, Arc<str>, Channel)>,
+    /// The connection, until the response has ended.
+    connection: Option<(Rc<Pool>, Arc<str>, Channel)>,
 }
 
 impl HttpEvents {
-    /// Closes the connection: it can serve no other request.
-    fn spoilt(&mut self, cause: impl std::fmt::Display) -> AttemptError {
-        (self.body, self.line) = (None, None);
+    /// Closes the connection, which cannot be reused, and returns the error.
+    fn close_with_error(&mut self, cause: impl std::fmt::Display) -> AttemptError {
+        (self.body, self.connection) = (None, None);
         AttemptError::new(Progress::Written, cause)
     }
 }
@@ -248,21 +251,21 @@
 impl EventStream for HttpEvents {
     fn poll_event(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, AttemptError>>> {
         while let Some(body) = &mut self.body {
-            let came = match std::task::ready!(Pin::new(body).poll_frame(context)) {
+            let parsed = match std::task::ready!(Pin::new(body).poll_frame(context)) {
                 Some(Ok(frame)) => self.events.push(frame.data_ref().map_or(&[], |data| data)),
-                Some(Err(error)) => return Poll::Ready(Some(Err(self.spoilt(error)))),
+                Some(Err(error)) => return Poll::Ready(Some(Err(self.close_with_error(error)))),
                 None => {
                     self.body = None;
                     self.events.end()
                 }
             };
-            match came {
+            match parsed {
                 Ok(None) => {}
                 Ok(Some(events)) => return Poll::Ready(Some(Ok(events))),
-                Err(cause) => return Poll::Ready(Some(Err(self.spoilt(cause)))),
+                Err(cause) => return Poll::Ready(Some(Err(self.close_with_error(cause)))),
             }
         }
-        if let Some((pool, endpoint, channel)) = self.line.take() {
+        if let Some((pool, endpoint, channel)) = self.connection.take() {
             pool.put(endpoint, channel);
         }
         Poll::Ready(None)
