--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -59,8 +59,11 @@
     /// renewal. A call that opens a watch has a shorter timeout and a shorter wait for updates, since nothing
     /// shows yet that a server listens at the address.
     async fn request_update(&mut self, open: bool) -> Result<List, AttemptError> {
-        let (wait, call_timeout) =
-            if open { (MAX_WAIT, MAX_WAIT + GRACE) } else { (FIRST_MAX_WAIT, self.backoff.patience()) };
+        let (wait, call_timeout) = if open {
+            (MAX_WAIT, MAX_WAIT + GRACE)
+        } else {
+            (FIRST_MAX_WAIT, self.backoff.opening_timeout())
+        };
         let path = match self.revision {
             None => "/v1/endpoints".to_owned(),
             Some(rev) => format!("/v1/endpoints?index={rev}&wait={}", wait.as_millis()),
@@ -95,7 +98,7 @@
     /// Sends every response that carries an update to the channel until its receiver is dropped. A source
     /// that knows a revision opens its watch from that revision.
     async fn run(mut self, opening: Opening, number: u64, lists: mpsc::Sender<(u64, List)>) {
-        tokio::time::sleep(self.backoff.begin(opening)).await;
+        tokio::time::sleep(self.backoff.first_call_delay(opening)).await;
         let mut open = false;
         loop {
             let call_started = Instant::now();
@@ -125,17 +128,17 @@
                     }
                 }
                 Err(error) => {
-                    let (pause, first_failure) = self.backoff.failed(call_started.elapsed());
+                    let (delay, first_failure) = self.backoff.failed(call_started.elapsed());
                     // A timeout on an open watch means that its connection is broken, while the service may
                     // be healthy. A change lost with the connection soon counts as announced, so the next
                     // call follows at once. Gateways detect such a timeout at different moments, so these
                     // calls do not coincide.
                     let watch_timed_out = std::mem::take(&mut open) && error.progress == Progress::TimedOut;
-                    let pause = if watch_timed_out { Duration::ZERO } else { pause };
+                    let delay = if watch_timed_out { Duration::ZERO } else { delay };
                     // Only the first failure of an outage is logged as a warning, not every failed call.
                     let level = if first_failure { log::Level::Warn } else { log::Level::Debug };
                     log::log!(level, "discovery at={} {error}", self.address);
-                    tokio::time::sleep(pause).await;
+                    tokio::time::sleep(delay).await;
                 }
             }
         }
