--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -74,7 +74,7 @@
         let call = async {
             let mut channel = match open_channel {
                 Some(channel) => channel,
-                None => self.pool.take(&self.address).await?,
+                None => self.pool.acquire(&self.address).await?,
             };
             let answer = channel.send(request, 0, WriteWatch::default()).await?;
             let status = answer.status();
@@ -83,7 +83,7 @@
             if !status.is_success() {
                 return Err(AttemptError::new(Progress::Written, format!("status {status}")));
             }
-            channel.answered();
+            channel.mark_response_read();
             let list = serde_json::from_slice(&body).map_err(|e| AttemptError::new(Progress::Written, e))?;
             Ok((list, channel))
         };
--- a/src/net/engines.rs
+++ b/src/net/engines.rs
@@ -109,7 +109,7 @@
 async fn read_body(channel: &Channel, body: Incoming, max_bytes: usize) -> Result<Bytes, AttemptError> {
     let read = Limited::new(body, max_bytes).collect().await;
     let read_error = |e: Box<dyn std::error::Error + Send + Sync>| match e.downcast::<hyper::Error>() {
-        Ok(error) => channel.lost(*error),
+        Ok(error) => channel.connection_error(*error),
         Err(error) => AttemptError::new(Progress::Written, error),
     };
     Ok(read.map_err(read_error)?.to_bytes())
@@ -165,9 +165,9 @@
         let (pool, names, max_bytes) = (self.pool.clone(), self.load.clone(), self.answer_bytes);
         let tries = self.tries.clone();
         async move {
-            let mut channel = pool.take(&call.endpoint).await?;
+            let mut channel = pool.acquire(&call.endpoint).await?;
             if let Some(cause) = call.guard.refusal() {
-                pool.put(call.endpoint, channel);
+                pool.put_back(call.endpoint, channel);
                 return Err(AttemptError::new(Progress::Withdrawn, cause));
             }
             let request = call_request(&call)?;
@@ -184,7 +184,7 @@
             let max_bytes = if call.job.manner == Manner::Staged { MAX_STATUS_BODY_BYTES } else { max_bytes };
             let body = read_body(&channel, body, max_bytes).await?;
             let connected = channel.opened;
-            pool.put(call.endpoint, channel);
+            pool.put_back(call.endpoint, channel);
             let declined = is_declined(head.status, &head.headers);
             let reply = interpret(call.job.manner, head.status, declined, body);
             Ok(Replied { reply, load, connected })
@@ -202,11 +202,11 @@
                 return Ok(());
             }
             let request = request(Method::DELETE, &endpoint, &format!("/state/{}", id.0), Bytes::new())?;
-            let mut channel = pool.take_for_release(&endpoint).await?;
+            let mut channel = pool.acquire_for_release(&endpoint).await?;
             let response = channel.send(request, 0, WriteWatch::default()).await?;
             let status = response.status();
             read_body(&channel, response.into_body(), MAX_STATUS_BODY_BYTES).await?;
-            pool.put(endpoint, channel);
+            pool.put_back(endpoint, channel);
             let rejected = || AttemptError::new(Progress::Written, format!("status {status}"));
             status.is_success().then_some(()).ok_or_else(rejected)
         }
@@ -216,18 +216,18 @@
         let (pool, names) = (self.pool.clone(), self.load.clone());
         async move {
             let request = request(Method::GET, &endpoint, "/status/load", Bytes::new())?;
-            let mut channel = pool.take(&endpoint).await?;
+            let mut channel = pool.acquire(&endpoint).await?;
             let response = channel.send(request, 0, WriteWatch::default()).await?;
             let status = response.status();
             let body = read_body(&channel, response.into_body(), MAX_STATUS_BODY_BYTES).await?;
-            pool.put(endpoint, channel);
+            pool.put_back(endpoint, channel);
             let failed = || AttemptError::new(Progress::Written, format!("status {status}"));
             status.is_success().then(|| names.read(&body)).ok_or_else(failed)
         }
     }
 
     fn forget(&self, endpoint: &str) {
-        self.pool.forget(endpoint);
+        self.pool.close_idle_to(endpoint);
     }
 }
 
@@ -266,7 +266,7 @@
             }
         }
         if let Some((pool, endpoint, channel)) = self.connection.take() {
-            pool.put(endpoint, channel);
+            pool.put_back(endpoint, channel);
         }
         Poll::Ready(None)
     }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,4 +1,5 @@
-//! Connections to engines: one request at a time each, warm ones used again, all of them bounded.
+//! Connections to engines: each carries one request at a time, idle ones are reused, and their number is
+//! bounded.
 
 use super::transport::{Meter, Wire, WriteWatch, is_stale};
 use crate::gateway::{AttemptError, Progress};
@@ -16,28 +17,29 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Bounds on connections.
+/// Limits on connections.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// Connections to all engines together.
+    /// Maximum number of connections to all engines together.
     pub connections: usize,
-    /// How many of them are kept for calls that let states go.
+    /// Number of these connections that are reserved for calls that release states.
     pub reserved: usize,
-    /// Most bytes of an answer's head, and of what is buffered for a connection.
+    /// Maximum size of a response head, and of the read buffer of a connection, in bytes.
     pub buffer: usize,
-    /// How long one may take to come up.
+    /// Maximum time to establish a connection.
     pub dial_timeout: Duration,
-    /// How long one may stand idle here; well under what the engines allow.
+    /// Maximum idle time of a connection; well below the idle timeout of the engines.
     pub idle: Duration,
 }
 
-/// How long a connection rests after an answer: what comes behind that unasked must not pass for the next.
-const REST: Duration = Duration::from_millis(10);
+/// Delay before a connection is reused after a response: unsolicited bytes that follow the response must not
+/// be taken for the next response.
+const REUSE_DELAY: Duration = Duration::from_millis(10);
 
-/// Counts a connection for as long as it lives.
-struct Counted(Rc<Cell<usize>>);
+/// Counts a connection as open until it is dropped.
+struct OpenCount(Rc<Cell<usize>>);
 
-impl Drop for Counted {
+impl Drop for OpenCount {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -49,11 +51,11 @@
     stream: Rc<TcpStream>,
     meter: Rc<Meter>,
     task: AbortHandle,
-    /// When it came up.
+    /// Time at which the connection was established.
     pub(super) opened: tokio::time::Instant,
-    /// Whether a request was sent whose answer has not been read to its end.
+    /// True while the response to a sent request has not been read to its end.
     in_use: bool,
-    _counted: Counted,
+    _open_count: OpenCount,
 }
 
 impl Drop for Channel {
@@ -66,7 +68,7 @@
 }
 
 impl Channel {
-    /// Sends one request and waits for the head of its answer. Nothing is sent a second time.
+    /// Sends one request and waits for the head of its response. Nothing is sent a second time.
     pub(super) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -75,25 +77,26 @@
     ) -> Result<Response<Incoming>, AttemptError> {
         self.meter.begin(body, watch);
         self.in_use = true;
-        let answer = self.sender.try_send_request(request).await;
-        answer.map_err(|error| self.lost(error.into_error()))
+        let response = self.sender.try_send_request(request).await;
+        response.map_err(|error| self.connection_error(error.into_error()))
     }
 
-    /// The answer to what was sent has been read to its end.
-    pub(super) fn answered(&mut self) {
+    /// Marks the response as read to its end.
+    pub(super) fn mark_response_read(&mut self) {
         self.in_use = false;
     }
 
-    /// Has the system reset the connection as it closes. Otherwise it goes on to deliver what it has taken: a server that
-    /// hung, or was cut off, would begin a request that was given up long before.
+    /// Makes the kernel reset the connection when it is closed. Otherwise the kernel would still deliver the
+    /// buffered bytes, and a server that hung or was unreachable would start a request that was given up long
+    /// before.
     fn discard_unsent(&self) {
         if let Err(error) = SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO)) {
             log::debug!("connection closes without a reset {error}");
         }
     }
 
-    /// What a break of this connection means for the request in hand.
-    pub(super) fn lost(&self, cause: hyper::Error) -> AttemptError {
+    /// Returns the error of the request in progress when this connection breaks.
+    pub(super) fn connection_error(&self, cause: hyper::Error) -> AttemptError {
         let progress = if self.meter.is_complete() { Progress::Written } else { Progress::Unwritten };
         AttemptError::new(progress, cause)
     }
@@ -104,7 +107,7 @@
     since: Instant,
 }
 
-/// The connections of one gateway.
+/// The connections of one gateway to engines.
 pub struct Pool {
     limits: PoolLimits,
     open: Rc<Cell<usize>>,
@@ -112,42 +115,46 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(limits: PoolLimits) -> Rc<Self> {
         Rc::new(Self { limits, open: Rc::default(), idle: RefCell::default() })
     }
 
-    /// A warm connection, or a new one, for an attempt.
-    pub(super) async fn take(&self, endpoint: &Arc<str>) -> Result<Channel, AttemptError> {
-        self.take_within(endpoint, self.limits.connections.saturating_sub(self.limits.reserved)).await
+    /// Returns an idle connection, or a new one, for an attempt.
+    pub(super) async fn acquire(&self, endpoint: &Arc<str>) -> Result<Channel, AttemptError> {
+        self.acquire_within(endpoint, self.limits.connections.saturating_sub(self.limits.reserved)).await
     }
 
-    /// The same for a call that lets a state go: attempts that wait must not keep it from being made.
-    pub(super) async fn take_for_release(&self, endpoint: &Arc<str>) -> Result<Channel, AttemptError> {
-        self.take_within(endpoint, self.limits.connections).await
+    /// Returns a connection for a call that releases a state: attempts may not use up all connections.
+    pub(super) async fn acquire_for_release(&self, endpoint: &Arc<str>) -> Result<Channel, AttemptError> {
+        self.acquire_within(endpoint, self.limits.connections).await
     }
 
-    async fn take_within(&self, endpoint: &Arc<str>, most: usize) -> Result<Channel, AttemptError> {
-        while let Some(idle) = self.pop(endpoint) {
-            let old = idle.since.elapsed() >= self.limits.idle;
-            if !old && idle.channel.sender.is_ready() && !is_stale(&idle.channel.stream) {
+    async fn acquire_within(
+        &self,
+        endpoint: &Arc<str>,
+        max_connections: usize,
+    ) -> Result<Channel, AttemptError> {
+        while let Some(idle) = self.pop_reusable(endpoint) {
+            let expired = idle.since.elapsed() >= self.limits.idle;
+            if !expired && idle.channel.sender.is_ready() && !is_stale(&idle.channel.stream) {
                 return Ok(idle.channel);
             }
         }
-        if self.open.get() >= most {
+        if self.open.get() >= max_connections {
             self.close_one_idle();
         }
-        if self.open.get() >= most {
+        if self.open.get() >= max_connections {
             return Err(AttemptError::new(Progress::Unconnected, "all connections are in use"));
         }
         self.connect(endpoint).await
     }
 
-    fn pop(&self, endpoint: &str) -> Option<Idle> {
+    fn pop_reusable(&self, endpoint: &str) -> Option<Idle> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(endpoint)?;
-        let rested = connections.iter().rposition(|idle| idle.since.elapsed() >= REST)?;
-        Some(connections.remove(rested))
+        let index = connections.iter().rposition(|idle| idle.since.elapsed() >= REUSE_DELAY)?;
+        Some(connections.remove(index))
     }
 
     fn close_one_idle(&self) {
@@ -158,32 +165,32 @@
 
     async fn connect(&self, endpoint: &str) -> Result<Channel, AttemptError> {
         self.open.set(self.open.get() + 1);
-        let counted = Counted(self.open.clone());
-        let lost = |cause: String| AttemptError::new(Progress::Unconnected, cause);
+        let open_count = OpenCount(self.open.clone());
+        let not_connected = |cause: String| AttemptError::new(Progress::Unconnected, cause);
         let dialled = tokio::time::timeout(self.limits.dial_timeout, TcpStream::connect(endpoint)).await;
-        let stream = dialled.map_err(|_| lost("no connection in time".into()))?;
-        let stream = stream.map_err(|e| lost(e.to_string()))?;
-        stream.set_nodelay(true).map_err(|e| lost(e.to_string()))?;
+        let stream = dialled.map_err(|_| not_connected("connect timed out".into()))?;
+        let stream = stream.map_err(|e| not_connected(e.to_string()))?;
+        stream.set_nodelay(true).map_err(|e| not_connected(e.to_string()))?;
         let (stream, meter) = (Rc::new(stream), Rc::<Meter>::default());
         let wire = Wire { stream: stream.clone(), meter: meter.clone() };
         let mut builder = http1::Builder::new();
-        // A field that cannot be read says nothing against the answer that it came with.
+        // An unreadable header does not make the rest of the response invalid.
         builder.max_buf_size(self.limits.buffer).ignore_invalid_headers_in_responses(true);
-        let made = builder.handshake(TokioIo::new(wire)).await;
-        let (sender, connection) = made.map_err(|e| lost(e.to_string()))?;
-        // Its error reaches the request in hand; without one nobody misses the connection.
+        let handshake = builder.handshake(TokioIo::new(wire)).await;
+        let (sender, connection) = handshake.map_err(|e| not_connected(e.to_string()))?;
+        // An error of the connection reaches the request in progress; an idle connection is simply replaced.
         let task = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
         let opened = tokio::time::Instant::now();
-        Ok(Channel { sender, stream, meter, task, opened, in_use: false, _counted: counted })
+        Ok(Channel { sender, stream, meter, task, opened, in_use: false, _open_count: open_count })
     }
 
-    /// Keeps a connection whose answer has been read to its end.
-    pub(super) fn put(self: &Rc<Self>, endpoint: Arc<str>, mut channel: Channel) {
+    /// Returns a connection to the pool once its response has been read to its end.
+    pub(super) fn put_back(self: &Rc<Self>, endpoint: Arc<str>, mut channel: Channel) {
         if channel.in_use && !channel.meter.is_complete() {
-            // It was answered before its request had ended: what is left of that must not follow.
+            // The response arrived before the request was written completely; the rest must not be sent.
             return;
         }
-        channel.answered();
+        channel.mark_response_read();
         let pool = self.clone();
         tokio::task::spawn_local(async move {
             let ready = tokio::time::timeout(Duration::from_secs(1), channel.sender.ready()).await;
@@ -194,12 +201,12 @@
         });
     }
 
-    /// Closes what stands idle to an engine.
-    pub(super) fn forget(&self, endpoint: &str) {
+    /// Closes the idle connections to an engine.
+    pub(super) fn close_idle_to(&self, endpoint: &str) {
         self.idle.borrow_mut().remove(endpoint);
     }
 
-    /// Closes what has stood idle too long.
+    /// Closes connections that have been idle for too long.
     pub fn retire(&self) {
         let limit = self.limits.idle;
         let mut idle = self.idle.borrow_mut();
