--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -1,7 +1,7 @@
 //! The one guard for closing a client's connection, and why one was closed.
 
 use super::connection::Connection;
-use super::transport::{end_writing, is_to_be_repeated};
+use super::transport::{end_writing, must_retry};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -105,7 +105,7 @@
         while stream.readable().await.is_ok() {
             match stream.try_read(&mut discarded) {
                 Ok(0) => return,
-                Err(error) if !is_to_be_repeated(&error) => return,
+                Err(error) if !must_retry(&error) => return,
                 _ => {}
             }
         }
--- a/src/net/engines.rs
+++ b/src/net/engines.rs
@@ -171,7 +171,7 @@
                 return Err(AttemptError::new(Progress::Withdrawn, cause));
             }
             let request = call_request(&call)?;
-            let watch = WriteWatch { guard: Some(call.guard), tally: Some(tries) };
+            let watch = WriteWatch { guard: Some(call.guard), written_counter: Some(tries) };
             let response = channel.send(request, call.job.body.len(), watch).await?;
             let (head, body) = response.into_parts();
             let load = head.headers.get("srv-load").map_or(Load::default(), |l| names.read(l.as_bytes()));
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to engines: each carries one request at a time, idle ones are reused, and their number is
 //! bounded.
 
-use super::transport::{Meter, Wire, WriteWatch, is_stale};
+use super::transport::{Meter, MeteredStream, WriteWatch, is_stale};
 use crate::gateway::{AttemptError, Progress};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -172,11 +172,11 @@
         let stream = stream.map_err(|e| not_connected(e.to_string()))?;
         stream.set_nodelay(true).map_err(|e| not_connected(e.to_string()))?;
         let (stream, meter) = (Rc::new(stream), Rc::<Meter>::default());
-        let wire = Wire { stream: stream.clone(), meter: meter.clone() };
+        let metered_stream = MeteredStream { stream: stream.clone(), meter: meter.clone() };
         let mut builder = http1::Builder::new();
         // An unreadable header does not make the rest of the response invalid.
         builder.max_buf_size(self.limits.buffer).ignore_invalid_headers_in_responses(true);
-        let handshake = builder.handshake(TokioIo::new(wire)).await;
+        let handshake = builder.handshake(TokioIo::new(metered_stream)).await;
         let (sender, connection) = handshake.map_err(|e| not_connected(e.to_string()))?;
         // An error of the connection reaches the request in progress; an idle connection is simply replaced.
         let task = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
--- a/src/net/transport.rs
+++ b/src/net/transport.rs
@@ -1,4 +1,4 @@
-//! A connection to an engine that knows how much of a request has been written to it.
+//! A stream to an engine that tracks how much of a request has been written to it.
 
 use crate::gateway::SendGuard;
 use std::cell::{Cell, RefCell};
@@ -10,37 +10,38 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
+/// The blank line that ends a request head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// What is to be done as a request is written.
+/// Hooks that run as a request is written.
 #[derive(Debug, Default)]
 pub(super) struct WriteWatch {
-    /// Told when the first byte is written.
+    /// Checked when the first byte is written.
     pub(super) guard: Option<SendGuard>,
-    /// Counts the requests that were written whole.
-    pub(super) tally: Option<Rc<Cell<u64>>>,
+    /// Counter of the requests that were written completely.
+    pub(super) written_counter: Option<Rc<Cell<u64>>>,
 }
 
-/// Counts the bytes of the request in hand that the kernel has taken.
+/// Counts the bytes of the request in progress that the kernel has accepted.
 #[derive(Debug, Default)]
 pub(super) struct Meter {
     written: Cell<usize>,
-    /// How much of the blank line that ends the head has just been seen.
+    /// Number of bytes of the blank line that ends the head that the last written bytes match.
     matched: Cell<usize>,
     /// Length of the head, once it was written.
-    head: Cell<Option<usize>>,
-    body: Cell<usize>,
+    head_len: Cell<Option<usize>>,
+    body_len: Cell<usize>,
     watch: RefCell<WriteWatch>,
 }
 
 impl Meter {
-    /// A new request with a body of that length.
-    pub(super) fn begin(&self, body: usize, watch: WriteWatch) {
+    /// Starts a new request with a body of the given length.
+    pub(super) fn begin(&self, body_len: usize, watch: WriteWatch) {
         self.watch.replace(watch);
         self.written.set(0);
         self.matched.set(0);
-        self.head.set(None);
-        self.body.set(body);
+        self.head_len.set(None);
+        self.body_len.set(body_len);
     }
 
     fn count(&self, bytes: &[u8]) {
@@ -48,40 +49,40 @@
         if let Some(guard) = watch.guard.take() {
             guard.check_written();
         }
-        if self.head.get().is_none() {
-            for (at, byte) in bytes.iter().enumerate() {
+        if self.head_len.get().is_none() {
+            for (index, byte) in bytes.iter().enumerate() {
                 let matched = match self.matched.get() {
                     n if HEAD_END[n] == *byte => n + 1,
                     _ => usize::from(*byte == b'\r'),
                 };
                 self.matched.set(matched);
                 if matched == HEAD_END.len() {
-                    self.head.set(Some(self.written.get() + at + 1));
+                    self.head_len.set(Some(self.written.get() + index + 1));
                     break;
                 }
             }
         }
         self.written.set(self.written.get() + bytes.len());
         if self.is_complete()
-            && let Some(tally) = watch.tally.take()
+            && let Some(written_counter) = watch.written_counter.take()
         {
-            tally.set(tally.get() + 1);
+            written_counter.set(written_counter.get() + 1);
         }
     }
 
-    /// Whether the last byte of the request was written: from then on it may run.
+    /// Returns true if the last byte of the request was written: from then on the request may run.
     pub(super) fn is_complete(&self) -> bool {
-        self.head.get().is_some_and(|head| self.written.get() >= head + self.body.get())
+        self.head_len.get().is_some_and(|head_len| self.written.get() >= head_len + self.body_len.get())
     }
 }
 
-/// The connection itself, shared with the pool, which looks at it before it is used again.
-pub(super) struct Wire {
+/// The stream of a connection; the pool shares the socket to check it before the connection is reused.
+pub(super) struct MeteredStream {
     pub(super) stream: Rc<TcpStream>,
     pub(super) meter: Rc<Meter>,
 }
 
-/// Whether the other side has closed the connection or sent what nobody asked for.
+/// Returns true if the peer has closed the connection or sent unsolicited bytes.
 pub(super) fn is_stale(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     loop {
@@ -93,13 +94,13 @@
     }
 }
 
-/// Whether a call on a connection is to be made again: it was interrupted, or the poller's word was out of date. Neither
-/// says anything of the connection.
-pub(super) fn is_to_be_repeated(error: &io::Error) -> bool {
+/// Returns true if a call on a socket must be repeated: a signal interrupted it, or the readiness reported by
+/// the poller was out of date. Neither is an error of the connection.
+pub(super) fn must_retry(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Reads from a connection that is shared with those who look at it.
+/// Reads from a socket that is shared with other code that checks its state.
 pub(super) fn poll_read(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -112,13 +113,13 @@
                 buffer.advance(read);
                 return Poll::Ready(Ok(()));
             }
-            Err(error) if is_to_be_repeated(&error) => {}
+            Err(error) if must_retry(&error) => {}
             Err(error) => return Poll::Ready(Err(error)),
         }
     }
 }
 
-/// Writes to such a connection.
+/// Writes to a shared socket.
 pub(super) fn poll_write(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -127,18 +128,18 @@
     loop {
         ready!(stream.poll_write_ready(context))?;
         match stream.try_write(bytes) {
-            Err(error) if is_to_be_repeated(&error) => {}
-            written => return Poll::Ready(written),
+            Err(error) if must_retry(&error) => {}
+            result => return Poll::Ready(result),
         }
     }
 }
 
-/// Ends this side's sending on such a connection.
+/// Shuts down the sending side of a shared socket.
 pub(super) fn end_writing(stream: &TcpStream) -> io::Result<()> {
     socket2::SockRef::from(stream).shutdown(Shutdown::Write)
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -148,7 +149,7 @@
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for MeteredStream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = ready!(poll_write(&self.stream, context, bytes))?;
         self.meter.count(&bytes[..written]);
@@ -169,20 +170,25 @@
     use super::{Cell, Meter, Rc, WriteWatch};
     use rstest::rstest;
 
-    // "Never ran" is claimed only up to the last byte: one byte less is the whole difference.
+    // A request counts as never run only until its last byte is written, so one missing byte makes the
+    // difference.
     #[rstest]
     #[case::head_in_two_writes(&["POST / HTTP/1.1\r\nA: b\r", "\n\r\nbo"], 2, true)]
     #[case::last_byte_missing(&["POST / HTTP/1.1\r\n\r\nbod"], 4, false)]
     #[case::no_body(&["DELETE / HTTP/1.1\r\n\r\n"], 0, true)]
     #[case::head_not_ended(&["DELETE / HTTP/1.1\r\n\r"], 0, false)]
     #[case::blank_line_in_the_body(&["POST / HTTP/1.1\r\n\r\n", "\r\n\r\n"], 5, false)]
-    fn meter_knows_the_last_byte(#[case] writes: &[&str], #[case] body: usize, #[case] complete: bool) {
+    fn meter_is_complete_after_the_last_byte_only(
+        #[case] writes: &[&str],
+        #[case] body: usize,
+        #[case] complete: bool,
+    ) {
         let meter = Meter::default();
-        let tally = Rc::new(Cell::new(0));
-        meter.begin(body, WriteWatch { guard: None, tally: Some(tally.clone()) });
+        let written_counter = Rc::new(Cell::new(0));
+        meter.begin(body, WriteWatch { guard: None, written_counter: Some(written_counter.clone()) });
         for write in writes {
             meter.count(write.as_bytes());
         }
-        assert_eq!((meter.is_complete(), tally.get()), (complete, u64::from(complete)));
+        assert_eq!((meter.is_complete(), written_counter.get()), (complete, u64::from(complete)));
     }
 }
