--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -1,34 +1,36 @@
-//! A stream of events as an engine sends it: passed on event by event, each looked at first, so that noise
-//! never reaches a client and a stream that is spoilt at its opening can still be tried elsewhere.
+//! A stream of server-sent events from an engine. Each event is validated before it is passed on, so that
+//! noise never reaches a client and a stream that is malformed at its start can still be tried at another
+//! engine.
 
 use bytes::{Bytes, BytesMut};
 use serde::de::IgnoredAny;
 
-/// Most bytes of one event; a chunk that never ends would otherwise be kept whole.
-const EVENT_BYTES: usize = 64 << 10;
-/// The fields that an event may have.
+/// Maximum size of one event in bytes; a chunk that never ends would otherwise be buffered without limit.
+const MAX_EVENT_BYTES: usize = 64 << 10;
+/// The field names that an event may have.
 const FIELDS: [&[u8]; 4] = [b"data", b"event", b"id", b"retry"];
 
-/// The events of one answer.
+/// The events of one response.
 #[derive(Debug)]
 pub(super) struct Events {
-    /// What has come and was not handed on: before the first event all of it, then one that has not ended.
-    kept: BytesMut,
-    /// How much of that is events that have ended.
-    ended: usize,
-    /// Whether an event that carries something has come.
-    begun: bool,
-    /// Bytes that may still come.
-    left: usize,
+    /// Received bytes that were not passed on yet: everything before the first event with data, later an
+    /// incomplete event.
+    pending: BytesMut,
+    /// Number of these bytes that belong to complete events.
+    complete_bytes: usize,
+    /// True once an event with data has arrived.
+    has_first_event: bool,
+    /// Number of bytes that the response may still have.
+    remaining_bytes: usize,
 }
 
-/// A line without its end, and how long it is with it; none if it has not ended.
-fn line(text: &[u8]) -> Option<(&[u8], usize)> {
+/// Returns the first line without its line end, and its length with it, or `None` if the line is incomplete.
+fn next_line(text: &[u8]) -> Option<(&[u8], usize)> {
     let end = text.iter().position(|byte| *byte == b'\n')?;
     Some((text[..end].strip_suffix(b"\r").unwrap_or(&text[..end]), end + 1))
 }
 
-/// A field's name and value.
+/// Returns a field's name and value.
 fn field(line: &[u8]) -> (&[u8], &[u8]) {
     match line.iter().position(|byte| *byte == b':') {
         Some(colon) => {
@@ -39,53 +41,60 @@
     }
 }
 
-/// Whether what has come of a line can still become one of an event.
+/// Returns true if an incomplete line can still become a line of an event.
 fn may_become_line(part: &[u8]) -> bool {
     let (name, _) = field(part);
-    let ends = part.contains(&b':');
-    part == b"\r" || name.is_empty() || FIELDS.iter().any(|f| *f == name || !ends && f.starts_with(name))
+    let has_colon = part.contains(&b':');
+    part == b"\r" || name.is_empty() || FIELDS.iter().any(|f| *f == name || !has_colon && f.starts_with(name))
 }
 
-/// Whether data are what an engine makes: an object, or the mark of the end.
-fn is_data(data: &[u8]) -> bool {
+/// Returns true if the data of an event have a form that engines produce: an object, or the end marker.
+fn is_valid_data(data: &[u8]) -> bool {
     data == b"[DONE]" || data.starts_with(b"{") && serde_json::from_slice::<IgnoredAny>(data).is_ok()
 }
 
 impl Events {
-    /// Events of so many bytes together at most.
-    pub(super) fn new(most: usize) -> Self {
-        Self { kept: BytesMut::new(), ended: 0, begun: false, left: most }
+    /// Creates an empty buffer for events of at most `max_bytes` bytes in total.
+    pub(super) fn new(max_bytes: usize) -> Self {
+        Self {
+            pending: BytesMut::new(),
+            complete_bytes: 0,
+            has_first_event: false,
+            remaining_bytes: max_bytes,
+        }
     }
 
-    /// Takes in what has come; gives the events that can be handed on, unchanged.
+    /// Buffers received bytes and returns the events that can be passed on, unchanged.
     pub(super) fn push(&mut self, piece: &[u8]) -> Result<Option<Bytes>, &'static str> {
-        self.left = self.left.checked_sub(piece.len()).ok_or("the answer is too long")?;
-        self.kept.extend_from_slice(piece);
-        while let Some((length, carries)) = self.event()? {
-            self.ended += length;
-            self.begun |= carries;
+        self.remaining_bytes =
+            self.remaining_bytes.checked_sub(piece.len()).ok_or("the response is too long")?;
+        self.pending.extend_from_slice(piece);
+        while let Some((length, has_data)) = self.next_event()? {
+            self.complete_bytes += length;
+            self.has_first_event |= has_data;
         }
-        if self.kept.len() - self.ended > EVENT_BYTES {
-            return Err("an event does not end");
+        if self.pending.len() - self.complete_bytes > MAX_EVENT_BYTES {
+            return Err("an event exceeds the maximum size");
         }
-        let ready = if self.begun { std::mem::take(&mut self.ended) } else { 0 };
-        Ok((ready > 0).then(|| self.kept.split_to(ready).freeze()))
+        let ready_bytes = if self.has_first_event { std::mem::take(&mut self.complete_bytes) } else { 0 };
+        Ok((ready_bytes > 0).then(|| self.pending.split_to(ready_bytes).freeze()))
     }
 
-    /// The length of the next event, if it has ended, and whether it carries data.
-    fn event(&self) -> Result<Option<(usize, bool)>, &'static str> {
-        let text = &self.kept[self.ended..];
-        let (mut at, mut data, mut lines) = (0, None::<Vec<u8>>, 0);
-        while let Some((line, length)) = line(&text[at..]) {
-            at += length;
+    /// Returns the length of the next complete event, if any, and true if it carries data.
+    fn next_event(&self) -> Result<Option<(usize, bool)>, &'static str> {
+        let text = &self.pending[self.complete_bytes..];
+        let (mut offset, mut data, mut lines) = (0, None::<Vec<u8>>, 0);
+        while let Some((line, length)) = next_line(&text[offset..]) {
+            offset += length;
             if line.is_empty() && lines == 0 {
-                // It belongs to what follows: a chunk that does not fit begins so too.
+                // A blank line before an event belongs to it. A chunk with a wrong size also starts with a
+                // blank line.
                 continue;
             }
             lines += 1;
             if line.is_empty() {
-                let good = data.as_ref().is_none_or(|data| is_data(data));
-                return if good { Ok(Some((at, data.is_some()))) } else { Err("noise for an event's data") };
+                let valid = data.as_ref().is_none_or(|data| is_valid_data(data));
+                return if valid { Ok(Some((offset, data.is_some()))) } else { Err("invalid event data") };
             }
             match field(line) {
                 (b"", _) => {}
@@ -94,21 +103,22 @@
                     None => data = Some(value.to_vec()),
                 },
                 (name, _) if FIELDS.contains(&name) => {}
-                _ => return Err("noise between events"),
+                _ => return Err("invalid line between events"),
             }
         }
-        if may_become_line(&text[at..]) { Ok(None) } else { Err("noise between events") }
+        if may_become_line(&text[offset..]) { Ok(None) } else { Err("invalid line between events") }
     }
 
-    /// The answer has ended: gives what is left of it, if that is nothing but comments.
+    /// Ends the stream and returns the remaining bytes; an error unless they are only comments.
     pub(super) fn end(&mut self) -> Result<Option<Bytes>, &'static str> {
-        if !self.begun {
-            return Err("the answer ended before its first event");
+        if !self.has_first_event {
+            return Err("the response ended before its first event");
         }
-        let rest = self.kept.split();
-        let comments = rest[..].split(|byte| *byte == b'\n').all(|l| matches!(l, [] | b"\r" | [b':', ..]));
+        let rest = self.pending.split();
+        let only_comments =
+            rest[..].split(|byte| *byte == b'\n').all(|l| matches!(l, [] | b"\r" | [b':', ..]));
         let rest = (!rest.is_empty()).then(|| rest.freeze());
-        if comments { Ok(rest) } else { Err("the answer ended within an event") }
+        if only_comments { Ok(rest) } else { Err("the response ended within an event") }
     }
 }
 
@@ -117,64 +127,65 @@
     use super::*;
     use rstest::rstest;
 
-    fn handed_on(text: &str, at_once: usize) -> (String, Result<(), &'static str>) {
+    /// Feeds a stream in pieces of the given size; returns what was passed on, and the result.
+    fn passed_on(text: &str, piece_len: usize) -> (String, Result<(), &'static str>) {
         let mut events = Events::new(200_000);
-        let mut all = String::new();
-        let mut note = |piece: Option<Bytes>| {
-            all += std::str::from_utf8(&piece.unwrap_or_default()).expect("text");
+        let mut output = String::new();
+        let mut append = |piece: Option<Bytes>| {
+            output += std::str::from_utf8(&piece.unwrap_or_default()).expect("valid UTF-8");
         };
         let mut run = || {
-            for piece in text.as_bytes().chunks(at_once) {
-                note(events.push(piece)?);
+            for piece in text.as_bytes().chunks(piece_len) {
+                append(events.push(piece)?);
             }
-            note(events.end()?);
+            append(events.end()?);
             Ok(())
         };
         let result = run();
-        (all, result)
+        (output, result)
     }
 
     #[rstest]
-    #[case::usual("data: {\"a\":1}\n\ndata: [DONE]\n\n")]
+    #[case::data_and_end_marker("data: {\"a\":1}\n\ndata: [DONE]\n\n")]
     #[case::report_at_the_end("data: {\"a\":1}\n\n: Srv-Load: {\"inflight\":7}\n\n")]
     #[case::unreadable_report("data: {\"a\":1}\n\n: Srv-Load: {{{\n")]
     #[case::comment_first(": hello\n\ndata: {\"a\":1}\n\n")]
     #[case::blank_lines("data: {\"a\":1}\n\n\n\r\n")]
-    #[case::other_line_ends("event: e\r\ndata: {\"a\":\r\ndata: 1}\r\n\r\n")]
-    fn events_are_handed_on_unchanged(#[case] text: &str, #[values(1, 5, 4096)] at_once: usize) {
-        assert_eq!(handed_on(text, at_once), (text.to_owned(), Ok(())));
+    #[case::carriage_returns("event: e\r\ndata: {\"a\":\r\ndata: 1}\r\n\r\n")]
+    fn events_are_passed_on_unchanged(#[case] text: &str, #[values(1, 5, 4096)] piece_len: usize) {
+        assert_eq!(passed_on(text, piece_len), (text.to_owned(), Ok(())));
     }
 
-    // What was passed on of a spoilt opening could not be taken back, and the request was lost with it.
+    // Once the start of a malformed stream was passed on, it could not be taken back, and the request failed.
     #[rstest]
     #[case::half_an_event("data: {\"a\"")]
-    #[case::noise_for_data("data: {\"a\n\n")]
+    #[case::invalid_data("data: {\"a\n\n")]
     #[case::noise("\u{1}x8f!\n\n")]
     #[case::comment_and_noise(": hello\n\nzz")]
-    #[case::chunk_that_does_not_fit("\r\n1f\r\ndata: {\"a\":1}\n\n")]
-    #[case::none("")]
-    #[case::comments_alone(": hello\n\n")]
-    fn nothing_of_a_spoilt_opening_is_handed_on(#[case] text: &str, #[values(1, 4096)] at_once: usize) {
-        let (handed, result) = handed_on(text, at_once);
-        assert_eq!(handed, "");
+    #[case::chunk_with_wrong_size("\r\n1f\r\ndata: {\"a\":1}\n\n")]
+    #[case::empty_response("")]
+    #[case::only_comments(": hello\n\n")]
+    fn nothing_of_a_malformed_start_is_passed_on(#[case] text: &str, #[values(1, 4096)] piece_len: usize) {
+        let (output, result) = passed_on(text, piece_len);
+        assert_eq!(output, "");
         assert!(result.is_err());
     }
 
     #[rstest]
     #[case::noise("data: {\"a\":1}\n\n", "\u{1}x8f!")]
-    #[case::chunk_that_does_not_fit("data: {\"a\":1}\n\n", "\r\n1f\r\ndata: {\"b\":1}\n\n")]
+    #[case::chunk_with_wrong_size("data: {\"a\":1}\n\n", "\r\n1f\r\ndata: {\"b\":1}\n\n")]
     #[case::event_cut_short("data: {\"a\":1}\n\n", "data: {\"b\"")]
-    fn events_before_the_noise_are_all_that_is_handed_on(#[case] good: &str, #[case] noise: &str) {
-        let (handed, result) = handed_on(&format!("{good}{noise}"), 1);
-        assert_eq!(handed, good);
+    fn only_events_before_the_noise_are_passed_on(#[case] good: &str, #[case] noise: &str) {
+        let (output, result) = passed_on(&format!("{good}{noise}"), 1);
+        assert_eq!(output, good);
         assert!(result.is_err());
     }
 
-    // A chunk declared as 3 GB that keeps coming must cost neither its length in memory nor a client's time.
+    // A chunk declared as 3 GB that keeps arriving must neither fill the memory nor keep its client waiting.
     #[rstest]
     #[case::one_event("data: {\"a\":1}\n\ndata: ", &"x".repeat(4096))]
     #[case::many_events("", "data: {\"a\":1}\n\n")]
-    fn endless_answer_is_given_up(#[case] opening: &str, #[case] more: &str) {
+    fn endless_response_is_given_up(#[case] opening: &str, #[case] more: &str) {
         let mut events = Events::new(200_000);
         assert!(events.push(opening.as_bytes()).is_ok());
         let given_up = (0..300_000).find(|_| events.push(more.as_bytes()).is_err());
