--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -1,4 +1,4 @@
-//! All clients' connections: how many there may be, and which of the quiet ones are closed, or make room for new ones.
+//! All client connections: their maximum number, and which idle ones are closed to make room for new ones.
 
 use super::connection::Connection;
 use std::cell::{Cell, RefCell};
@@ -7,51 +7,53 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Bounds on clients' connections.
+/// Limits on client connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ServeLimits {
-    /// Connections served; those above are told to come back and closed.
+    /// Maximum number of connections that are served; a request on a further one is refused and its
+    /// connection closed.
     pub connections: usize,
-    /// Connections above that, at most; what comes then is closed without a word.
+    /// Maximum number of connections beyond `connections`; any more are closed without a response.
     pub spare: usize,
-    /// Most bytes of a head, and of what is buffered for a connection.
+    /// Maximum size of a request head, and of the read buffer of a connection, in bytes.
     pub buffer: usize,
-    /// Most bytes that are read ahead of the parser, on all connections together.
+    /// Maximum number of bytes read ahead of the parser, on all connections together.
     pub ahead: usize,
-    /// How long a connection may stand quiet before its first request or within one.
+    /// Maximum time without data before the first request or within a request.
     pub stall: Duration,
-    /// How long a head may take to come in.
+    /// Maximum time in which a request head must arrive.
     pub head: Duration,
-    /// How long a connection may stand idle between requests while there is room.
+    /// Maximum idle time between requests while no connection must be closed to make room.
     pub idle: Duration,
-    /// How long it may stand so in any case, unless nothing else gives room.
+    /// Minimum idle time before a connection is closed to make room, unless the limit is reached.
     pub idle_least: Duration,
 }
 
-/// Part of the connections from which idle ones make room for new ones.
-const CROWDED: f64 = 0.75;
-/// A connection younger than this may have its first request under way.
-const YOUNG: Duration = Duration::from_millis(50);
+/// Fraction of the maximum number of connections from which idle ones are closed to make room.
+const CROWDED_FRACTION: f64 = 0.75;
+/// Minimum idle time before a connection without a request is closed to make room: until then its first
+/// request may be on its way.
+const MIN_IDLE_WITHOUT_REQUEST: Duration = Duration::from_millis(50);
 
-/// All connections of clients.
+/// All client connections of one listener.
 pub(super) struct Connections {
     limits: ServeLimits,
-    all: RefCell<BTreeMap<u64, Rc<Connection>>>,
+    by_number: RefCell<BTreeMap<u64, Rc<Connection>>>,
     read_ahead_budget: Rc<Cell<usize>>,
-    next: Cell<u64>,
+    next_number: Cell<u64>,
 }
 
-/// What becomes of a new connection.
+/// How a new connection is treated.
 pub(super) enum Room {
     /// It is served.
     Served(Registration),
-    /// It is told that there is no room.
+    /// It is above the limit: its request is refused.
     OverLimit(Registration),
-    /// There is not even room to tell it.
+    /// It is above the limit by more than `spare`: it is closed without a response.
     None,
 }
 
-/// A connection's place among the others, for as long as it lives.
+/// The registration of an open connection, which ends when it is dropped.
 pub(super) struct Registration {
     connections: Rc<Connections>,
     pub(super) number: u64,
@@ -60,75 +62,84 @@
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        self.connections.all.borrow_mut().remove(&self.number);
+        self.connections.by_number.borrow_mut().remove(&self.number);
     }
 }
 
 impl Connections {
     pub(super) fn new(limits: ServeLimits) -> Rc<Self> {
         let read_ahead_budget = Rc::new(Cell::new(limits.ahead));
-        Rc::new(Self { limits, all: RefCell::default(), read_ahead_budget, next: Cell::new(0) })
+        Rc::new(Self { limits, by_number: RefCell::default(), read_ahead_budget, next_number: Cell::new(0) })
     }
 
-    pub(super) fn open(&self) -> usize {
-        self.all.borrow().len()
+    pub(super) fn open_count(&self) -> usize {
+        self.by_number.borrow().len()
     }
 
-    /// Takes a new connection in; idle ones make room for it.
-    pub(super) async fn take(self: &Rc<Self>, stream: TcpStream) -> Room {
-        let full = self.make_room();
-        let most = self.limits.connections + self.limits.spare;
-        if self.open() >= most {
-            // What was just asked to close does so in its own task.
+    /// Registers a new connection and, if slots are scarce, closes an idle one for it.
+    pub(super) async fn register(self: &Rc<Self>, stream: TcpStream) -> Room {
+        let over_limit = self.make_room();
+        let max_open = self.limits.connections + self.limits.spare;
+        if self.open_count() >= max_open {
+            // A connection that was just asked to close does so in its own task.
             tokio::task::yield_now().await;
         }
-        if self.open() >= most {
+        if self.open_count() >= max_open {
             return Room::None;
         }
-        let (number, connection) =
-            (self.next.get(), Rc::new(Connection::new(Rc::new(stream), self.read_ahead_budget.clone())));
-        self.next.set(number + 1);
-        self.all.borrow_mut().insert(number, connection.clone());
+        let (number, connection) = (
+            self.next_number.get(),
+            Rc::new(Connection::new(Rc::new(stream), self.read_ahead_budget.clone())),
+        );
+        self.next_number.set(number + 1);
+        self.by_number.borrow_mut().insert(number, connection.clone());
         let registration = Registration { connections: self.clone(), number, connection };
-        if full { Room::OverLimit(registration) } else { Room::Served(registration) }
+        if over_limit { Room::OverLimit(registration) } else { Room::Served(registration) }
     }
 
-    /// Has the connection that is missed least closed where room is short. Whether there is none left.
+    /// Closes the connection whose loss matters least if slots are scarce. Returns true if the limit is
+    /// reached and there is none to close.
     fn make_room(&self) -> bool {
-        let all = self.all.borrow();
-        let staying = all.values().filter(|s| !s.is_closing()).count();
-        let full = staying >= self.limits.connections;
-        if (staying as f64) < self.limits.connections as f64 * CROWDED {
+        let open = self.by_number.borrow();
+        let staying = open.values().filter(|connection| !connection.is_closing()).count();
+        let at_limit = staying >= self.limits.connections;
+        if (staying as f64) < self.limits.connections as f64 * CROWDED_FRACTION {
             return false;
         }
-        let idle_time = all.values().filter_map(|s| Some((s.idle_time()?, s)));
-        let open = idle_time.filter(|(idle_time, s)| {
-            let old = *idle_time >= self.limits.idle_least;
-            old || full && (*idle_time >= YOUNG || s.has_served_request()) && !s.in_request()
+        let idle = open.values().filter_map(|connection| Some((connection.idle_time()?, connection)));
+        let candidates = idle.filter(|(idle_time, connection)| {
+            let expired = *idle_time >= self.limits.idle_least;
+            expired
+                || at_limit
+                    && (*idle_time >= MIN_IDLE_WITHOUT_REQUEST || connection.has_served_request())
+                    && !connection.in_request()
         });
-        // First what has had its time, then what never asked anything, then the longest idle.
-        let least = open.max_by_key(|(idle_time, s)| {
-            (*idle_time >= self.limits.idle_least, !s.has_served_request(), *idle_time)
+        // Order of preference: expired idle time, then connections that never sent a request, then the
+        // longest idle.
+        let least_needed = candidates.max_by_key(|(idle_time, connection)| {
+            (*idle_time >= self.limits.idle_least, !connection.has_served_request(), *idle_time)
         });
-        match least {
+        match least_needed {
             Some((_, connection)) => {
                 connection.close_for_new_connection();
                 false
             }
-            None => full,
+            None => at_limit,
         }
     }
 
-    /// Has all closed on which no request is being answered.
+    /// Closes all connections on which no request is being answered.
     pub(super) fn close_all(&self) {
-        for connection in self.all.borrow().values().filter(|connection| !connection.is_answering()) {
+        for connection in self.by_number.borrow().values().filter(|connection| !connection.is_answering()) {
             connection.request_close();
         }
     }
 
-    /// Has those closed that were quiet for too long.
+    /// Closes the connections that have been idle for too long.
     pub(super) fn close_overdue(&self) {
-        for connection in self.all.borrow().values().filter(|s| s.is_overdue(&self.limits)) {
+        for connection in
+            self.by_number.borrow().values().filter(|connection| connection.is_overdue(&self.limits))
+        {
             connection.request_close();
         }
     }
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -125,7 +125,7 @@
     overdue_check.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let phases = phase.clone();
     let start_connection = async |stream| {
-        let (registration, over_limit) = match connections.take(stream).await {
+        let (registration, over_limit) = match connections.register(stream).await {
             Room::Served(registration) => (registration, false),
             Room::OverLimit(registration) => (registration, true),
             Room::None => return log::debug!("connection closed: too many connections"),
@@ -168,7 +168,7 @@
         }
     }
     drop(listener);
-    while connections.open() > 0 {
+    while connections.open_count() > 0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
         if *phase.borrow() == Phase::Ended {
             connections.close_all();
