--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -1,4 +1,4 @@
-//! The one guard for closing a client's connection, and why one was closed.
+//! Decides whether a client connection may be closed, and records why a connection was closed.
 
 use super::connection::Connection;
 use super::transport::{end_writing, must_retry};
@@ -6,32 +6,32 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long a connection that was asked to close may take to write out what it has.
+/// Maximum time a connection that is shut down may take to write out its remaining data.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long what a client still sends after its answer is read.
+/// Maximum time in which data that a client still sends after its response are read and discarded.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What an order to close finds a connection doing.
+/// The effect of closing a connection in its current state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Closing {
-    /// A request is being answered, or something has come that was not read: it stays open.
+    /// A request is being answered, or received data are unread: the connection stays open.
     StaysOpen,
-    /// A request has come in part: its client is told that its time is over.
+    /// A request has arrived in part: its client gets a timeout response.
     InterruptsRequest,
-    /// It rests between two requests, or none ever came.
+    /// The connection is idle between two requests, or none ever arrived.
     IsIdle,
 }
 
 impl Closing {
-    /// What closing the connection would do now.
+    /// Returns the effect that closing the connection would have now.
     pub(super) fn of(connection: &Connection) -> Self {
         if connection.is_answering() {
-            // Its request was read in the very turn in which the order came.
+            // The request was read in the same event loop turn in which the close was requested.
             Self::StaysOpen
         } else if connection.in_request() {
             Self::InterruptsRequest
         } else if connection.has_unread_input() {
-            // A request or the client's own close crossed the order.
+            // A request, or the close of the client, arrived at the same moment as the close was requested.
             Self::StaysOpen
         } else {
             Self::IsIdle
@@ -39,25 +39,26 @@
     }
 }
 
-/// Why a connection was closed.
+/// The reason for which a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed, reset, or broke the protocol.
+    /// The client closed or reset it, or violated the protocol.
     Client,
-    /// The last answer on it was given, by the client's wish or since the gateway sends clients away.
+    /// The last response on it was sent, either at the request of the client or because the gateway is
+    /// draining or shutting down.
     Answered,
-    /// A request on it did not come to its end in time.
+    /// A request on it did not arrive completely in time.
     RequestTimeout,
-    /// It stood idle for too long.
+    /// It was idle for too long.
     Idle,
-    /// Another connection needed its place.
+    /// It was closed to make room for another connection.
     MadeRoom,
-    /// It rested when the gateway sent its clients away.
+    /// It was idle when the gateway started to drain or shut down.
     SentAway,
 }
 
 impl CloseReason {
-    /// Its name in the log and among the figures.
+    /// Returns the name used in the log and in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Client => "client",
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Whether the connection rested between two requests: what comes on it then was not read.
+    /// Returns true if the connection was idle between two requests: data that arrive then were not read.
     pub(super) fn was_idle(self) -> bool {
         matches!(self, Self::Idle | Self::MadeRoom | Self::SentAway)
     }
@@ -78,15 +79,16 @@
 /// A connection that was closed.
 #[derive(Clone, Debug)]
 pub struct ClosedConnection {
-    /// Its number among those of its listener.
+    /// Its number among the connections of its listener.
     pub number: u64,
-    /// Why it was closed.
+    /// The reason for which it was closed.
     pub reason: CloseReason,
-    /// The id of a request that had been read on it and got no answer though its client waits: there must be none.
+    /// The id of a request that was read on it and got no response although its client still waits. This must
+    /// not happen.
     pub unanswered: Option<Rc<str>>,
 }
 
-/// Lets a connection that rests, and was told to shut down, end in order.
+/// Finishes an idle connection that was told to shut down.
 pub(super) async fn finish_shutdown<T, E>(served: impl Future<Output = Result<T, E>>) -> Result<(), E> {
     match tokio::time::timeout(SHUTDOWN_TIMEOUT, served).await {
         Ok(Err(error)) => Err(error),
@@ -94,14 +96,15 @@
     }
 }
 
-/// Reads on for a while what a client still sends, so that the answer that came before its end reaches it:
-/// closed with bytes unread, the connection would be reset and the answer with it.
+/// Shuts down the sending side, then reads and discards for a while what the client still sends, so that a
+/// response sent before the end of its request reaches the client. Closing a socket with unread bytes resets
+/// the connection, and the response would be lost.
 pub(super) async fn linger(stream: &TcpStream, buffer: usize) {
     if end_writing(stream).is_err() {
         return;
     }
     let mut discarded = vec![0; buffer];
-    let drained = async {
+    let drain = async {
         while stream.readable().await.is_ok() {
             match stream.try_read(&mut discarded) {
                 Ok(0) => return,
@@ -110,6 +113,6 @@
             }
         }
     };
-    // Whoever sends for longer has had its answer.
-    let _ = tokio::time::timeout(LINGER_TIMEOUT, drained).await;
+    // A client that sends for longer has received its response by now.
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, drain).await;
 }
