--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting clients' connections, and what a failed accept says.
+//! Accepts client connections and classifies failed accepts.
 
 use rustix::io::Errno;
 use socket2::SockRef;
@@ -6,35 +6,36 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long after an accept that found no room the next is tried, and how often one is tried as the gateway closes.
+/// Delay before the next accept after one that failed for lack of resources.
 pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum number of accepts for one pending connection while the gateway closes its listener.
 const MAX_ACCEPT_TRIES: usize = 25;
 
-/// What a failed accept says.
+/// The kind of a failed accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AcceptFailure {
-    /// No connection waits.
-    NoneWaiting,
-    /// That of one connection, or of the call: the next may be well.
-    OneConnection,
-    /// There is no room, in this process or the system, for any connection now.
-    NoRoom,
+    /// No connection is pending.
+    NonePending,
+    /// The failure concerns one connection or the call itself: the next accept may succeed.
+    SingleConnection,
+    /// The process or the system lacks the resources to accept any connection now.
+    NoResources,
 }
 
 impl From<&io::Error> for AcceptFailure {
     fn from(error: &io::Error) -> Self {
-        // What accept(2) names as without room; all else that it names is an error of the connection itself.
-        const NO_ROOM: [Errno; 4] = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
+        // The errors by which accept(2) reports a lack of resources; all others concern a single connection.
+        const RESOURCE_ERRORS: [Errno; 4] = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
         match Errno::from_io_error(error) {
-            Some(Errno::AGAIN) => Self::NoneWaiting,
-            Some(errno) if NO_ROOM.contains(&errno) => Self::NoRoom,
-            _ => Self::OneConnection,
+            Some(Errno::AGAIN) => Self::NonePending,
+            Some(errno) if RESOURCE_ERRORS.contains(&errno) => Self::NoResources,
+            _ => Self::SingleConnection,
         }
     }
 }
 
-/// A connection that the system has accepted and nobody has taken yet. The system is asked itself: the runtime may not
-/// have been told of it so far.
+/// Accepts a connection that is pending in the kernel, if any. The kernel is called directly, since the
+/// runtime may not have been notified of the connection yet.
 pub(super) async fn accept_pending(listener: &TcpListener) -> Option<TcpStream> {
     for _ in 0..MAX_ACCEPT_TRIES {
         let accepted = SockRef::from(listener).accept().and_then(|(socket, _)| {
@@ -44,13 +45,13 @@
         match accepted {
             Ok(stream) => return Some(stream),
             Err(error) => match AcceptFailure::from(&error) {
-                AcceptFailure::NoneWaiting => return None,
-                AcceptFailure::OneConnection => {}
-                AcceptFailure::NoRoom => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
+                AcceptFailure::NonePending => return None,
+                AcceptFailure::SingleConnection => {}
+                AcceptFailure::NoResources => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
         }
     }
-    log::warn!("connections that waited were left as the gateway closed: none could be accepted");
+    log::warn!("pending connections were dropped at shutdown: accept failed repeatedly");
     None
 }
 
@@ -59,17 +60,18 @@
     use super::*;
     use rstest::rstest;
 
-    // One connection that was gone before it was accepted kept all others behind it from being taken.
+    // A connection that was gone before it was accepted prevented all connections behind it from being
+    // accepted.
     #[rstest]
-    #[case(Errno::AGAIN, AcceptFailure::NoneWaiting)]
-    #[case(Errno::CONNABORTED, AcceptFailure::OneConnection)]
-    #[case(Errno::INTR, AcceptFailure::OneConnection)]
-    #[case(Errno::PROTO, AcceptFailure::OneConnection)]
-    #[case(Errno::HOSTUNREACH, AcceptFailure::OneConnection)]
-    #[case(Errno::MFILE, AcceptFailure::NoRoom)]
-    #[case(Errno::NFILE, AcceptFailure::NoRoom)]
-    #[case(Errno::NOBUFS, AcceptFailure::NoRoom)]
-    fn failed_accept_says_whether_to_try_again(#[case] errno: Errno, #[case] expected: AcceptFailure) {
+    #[case(Errno::AGAIN, AcceptFailure::NonePending)]
+    #[case(Errno::CONNABORTED, AcceptFailure::SingleConnection)]
+    #[case(Errno::INTR, AcceptFailure::SingleConnection)]
+    #[case(Errno::PROTO, AcceptFailure::SingleConnection)]
+    #[case(Errno::HOSTUNREACH, AcceptFailure::SingleConnection)]
+    #[case(Errno::MFILE, AcceptFailure::NoResources)]
+    #[case(Errno::NFILE, AcceptFailure::NoResources)]
+    #[case(Errno::NOBUFS, AcceptFailure::NoResources)]
+    fn accept_errors_are_classified(#[case] errno: Errno, #[case] expected: AcceptFailure) {
         assert_eq!(AcceptFailure::from(&io::Error::from(errno)), expected);
     }
 }
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -150,10 +150,10 @@
         match accepted {
             Ok((stream, _)) => start_connection(stream).await,
             Err(error) => match AcceptFailure::from(&error) {
-                AcceptFailure::OneConnection | AcceptFailure::NoneWaiting => {
+                AcceptFailure::SingleConnection | AcceptFailure::NonePending => {
                     log::debug!("accept failed for a single connection {error}");
                 }
-                AcceptFailure::NoRoom => {
+                AcceptFailure::NoResources => {
                     log::warn!("accept failed {error}");
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
