--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -1,26 +1,27 @@
-//! Listening sockets.
+//! Binds listening sockets.
 
 use std::io;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-/// For how long binding an address is tried: less than what a start may take.
-const TRIED_FOR: Duration = Duration::from_secs(5);
-const TRY_EVERY: Duration = Duration::from_millis(50);
+/// Maximum time for which binding an address is retried; below the maximum start time of the process.
+const MAX_BIND_TIME: Duration = Duration::from_secs(5);
+/// Delay between two attempts to bind an address.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Listens at an address. The system may have no room for a socket just then, or still hold the address for a process
-/// that has ended: that is no reason not to start.
+/// Listens at an address. The system may temporarily lack resources for a socket, or still hold the address
+/// for a process that has just ended, so binding is retried instead of failing the start.
 pub async fn bind(address: &str) -> io::Result<TcpListener> {
-    let until = Instant::now() + TRIED_FOR;
+    let retry_until = Instant::now() + MAX_BIND_TIME;
     loop {
         match TcpListener::bind(address).await {
-            // What the system said, not what is wrong with the text of the address.
-            Err(error) if error.raw_os_error().is_some() && Instant::now() < until => {
-                log::warn!("cannot listen yet at={address} {error}");
-                tokio::time::sleep(TRY_EVERY).await;
+            // Only errors from the system are retried, not an invalid address.
+            Err(error) if error.raw_os_error().is_some() && Instant::now() < retry_until => {
+                log::warn!("cannot listen yet, retrying at={address} {error}");
+                tokio::time::sleep(BIND_RETRY_DELAY).await;
             }
-            bound => return bound,
+            result => return result,
         }
     }
 }
@@ -29,24 +30,24 @@
 mod tests {
     use super::*;
 
-    // The address of a process that was still ending ended the one that was to take its place.
+    // An address that was still held by an ending process made the start of its successor fail.
     #[tokio::test]
-    async fn address_that_is_in_use_for_a_moment_is_waited_for() {
-        let held = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = held.local_addr().expect("an address");
+    async fn bind_waits_for_an_address_that_is_briefly_in_use() {
+        let first_listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let address = first_listener.local_addr().expect("the listener has an address");
         let text = address.to_string();
-        let free = async {
+        let release_address = async {
             tokio::time::sleep(Duration::from_millis(120)).await;
-            drop(held);
+            drop(first_listener);
         };
-        let (bound, ()) = tokio::join!(bind(&text), free);
+        let (bound, ()) = tokio::join!(bind(&text), release_address);
         assert_eq!(bound.and_then(|bound| bound.local_addr()).ok(), Some(address));
     }
 
     #[tokio::test]
-    async fn address_that_makes_no_sense_is_refused_at_once() {
-        let asked = Instant::now();
+    async fn invalid_address_is_refused_at_once() {
+        let start = Instant::now();
         assert!(bind("nowhere").await.is_err());
-        assert!(asked.elapsed() < Duration::from_secs(1));
+        assert!(start.elapsed() < Duration::from_secs(1));
     }
 }
