--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,7 +1,7 @@
-//! The signals that ask for a planned stop or for the configuration to be read again.
+//! Signals that request a planned shutdown or a reload of the configuration.
 //!
-//! Their handlers only set flags, which are looked at from time to time: a pipe from the handler to the event loop would be
-//! one more thing to read, and a read may be interrupted.
+//! The signal handlers only set flags, which a task polls. A pipe from the handler to the event loop would be
+//! one more socket to read, and a read may be interrupted.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::flag;
@@ -11,40 +11,42 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// How often it is looked whether a signal has come.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval at which the signal flags are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Listens for SIGTERM and SIGINT, which ask for a stop, and SIGHUP. Gives what waits for a stop, and what tells of each
-/// order to read the configuration again; a signal that came before the wait counts. Needs a local set.
+/// Installs handlers for SIGTERM and SIGINT, which request a shutdown, and for SIGHUP, which requests a
+/// reload. Returns a future that completes on a shutdown request, and a receiver of reload requests. A signal
+/// that arrives before either is awaited is not lost. Must be called within a local task set.
 pub fn listen_for_signals() -> io::Result<(impl Future<Output = ()>, mpsc::Receiver<()>)> {
-    let (stopping, hung_up) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
+    let (stop_requested, reload_requested) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
     for signal in [SIGTERM, SIGINT] {
-        flag::register(signal, stopping.clone())?;
+        flag::register(signal, stop_requested.clone())?;
     }
-    flag::register(SIGHUP, hung_up.clone())?;
-    let (ask_stop, stop) = oneshot::channel();
-    let (ask_reload, reload) = mpsc::channel(1);
+    flag::register(SIGHUP, reload_requested.clone())?;
+    let (stop_sender, stop_receiver) = oneshot::channel();
+    let (reload_sender, reload_receiver) = mpsc::channel(1);
     tokio::task::spawn_local(async move {
-        let mut ask_stop = Some(ask_stop);
+        let mut stop_sender = Some(stop_sender);
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
-            if hung_up.swap(false, Ordering::Relaxed) {
-                // One that is asked for already reads what is there when it begins.
-                let _ = ask_reload.try_send(());
+            tokio::time::sleep(POLL_INTERVAL).await;
+            if reload_requested.swap(false, Ordering::Relaxed) {
+                // If a reload is already pending, it reads the current file when it begins, so the request
+                // may be dropped.
+                let _ = reload_sender.try_send(());
             }
-            if stopping.load(Ordering::Relaxed)
-                && let Some(ask_stop) = ask_stop.take()
+            if stop_requested.load(Ordering::Relaxed)
+                && let Some(stop_sender) = stop_sender.take()
             {
-                // Nobody is left to ask when the daemon has returned.
-                let _ = ask_stop.send(());
+                // The receiver is gone once the daemon has returned.
+                let _ = stop_sender.send(());
             }
         }
     });
-    let stopped = async move {
-        if stop.await.is_err() {
-            // Nobody looks for signals any more.
+    let shutdown = async move {
+        if stop_receiver.await.is_err() {
+            // The polling task has ended, so no signal can be reported any more.
             std::future::pending::<()>().await;
         }
     };
-    Ok((stopped, reload))
+    Ok((shutdown, reload_receiver))
 }
