--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets: connections to engines, discovery's watch, the server side, and signals.
+//! Networking: connections to engines, the discovery client, the server side, and signals.
 
 mod accept;
 mod backoff;
