--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! A small harness: one router, its clock, and short ways to say what happened.
+//! A small harness for one router: its clock, and helpers to send it events and inspect its actions.
 #![allow(dead_code)] // each test file uses its own part
 
 use meadowlug::Router;
 use meadowlug::interface::*;
 use std::sync::Arc;
 
-/// Servers 1 to 9 read, 11 to 19 write, 21 to 29 do both.
+/// Servers 1 to 9 are readers, 11 to 19 are writers, and 21 to 29 take both roles.
 pub struct Harness {
     router: Router,
     pub now: Micros,
@@ -25,7 +25,7 @@
     Entry { server: ServerId(server), kind, ..Entry::default() }
 }
 
-/// A server in the one cell of a zone.
+/// A server in the only cell of a zone.
 pub fn zoned(server: u32, zone: u32) -> Entry {
     Entry { zone, cell: zone, ..entry(server) }
 }
@@ -46,15 +46,19 @@
 
 impl Harness {
     pub fn new(settings: Settings, servers: &[u32]) -> Self {
-        let router = Router::new(settings, 1).expect("lawful settings");
+        let router = Router::new(settings, 1).expect("valid settings");
         let mut harness = Self { router, now: 100_000_000 };
-        harness.roster(servers.iter().map(|s| entry(*s)).collect());
+        harness.roster(servers.iter().map(|server| entry(*server)).collect());
         harness
     }
 
     pub fn handle(&mut self, events: &[Event]) -> Vec<Action> {
         let actions = self.router.handle(self.now, events);
-        assert_eq!(self.router.take_over_quota(), [], "sent beyond the quota of a server in slow start");
+        assert_eq!(
+            self.router.take_over_quota(),
+            [],
+            "more requests were sent than the slow-start quota of a server allows"
+        );
         actions
     }
 
@@ -86,47 +90,48 @@
         self.handle(&[Event::First { id: id(name), attempt }])
     }
 
-    /// Lets time pass in ticks; gives all that was done meanwhile.
+    /// Advances the clock in ticks of 20 ms; returns all actions that were taken meanwhile.
     pub fn wait(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
-        let mut all = Vec::new();
+        let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 20_000).min(end);
-            all.extend(self.handle(&[Event::Timer { token: 0 }]));
+            actions.extend(self.handle(&[Event::Timer { token: 0 }]));
         }
-        all
+        actions
     }
 
-    /// Reads a request to its end at whatever reader it was sent to, and gives what follows.
+    /// Completes the read attempt of a request 50 ms later; returns the actions that follow.
     pub fn read(&mut self, name: &str, attempt: u32) -> Vec<Action> {
         self.now += 50_000;
         self.ended(name, attempt, Status::Read)
     }
 }
 
-/// Where the request was sent, in order.
+/// Returns the servers to which the request was sent, in order.
 pub fn sends(actions: &[Action], name: &str) -> Vec<u32> {
-    let to = |a: &Action| match a {
-        Action::Send { id: of, server, .. } if *of == id(name) => Some(server.0),
+    let target = |action: &Action| match action {
+        Action::Send { id: sent_id, server, .. } if *sent_id == id(name) => Some(server.0),
         _ => None,
     };
-    actions.iter().filter_map(to).collect()
+    actions.iter().filter_map(target).collect()
 }
 
+/// Returns all sends as pairs of request id and server, in order.
 pub fn all_sends(actions: &[Action]) -> Vec<(String, u32)> {
-    let to = |a: &Action| match a {
+    let target = |action: &Action| match action {
         Action::Send { id, server, .. } => Some((id.0.to_string(), server.0)),
         _ => None,
     };
-    actions.iter().filter_map(to).collect()
+    actions.iter().filter_map(target).collect()
 }
 
 pub fn refused(actions: &[Action], name: &str) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: of, .. } if *of == id(name)))
+    actions.iter().any(|a| matches!(a, Action::Refuse { id: refused_id, .. } if *refused_id == id(name)))
 }
 
 pub fn failed(actions: &[Action], name: &str) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { id: of, .. } if *of == id(name)))
+    actions.iter().any(|a| matches!(a, Action::Fail { id: failed_id, .. } if *failed_id == id(name)))
 }
 
 pub fn released(actions: &[Action], name: &str) -> bool {
