--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -243,7 +243,7 @@
         let discovery = failing(how, list.clone()).await;
         let known = if knows { list } else { serde_json::json!({"rev": "spoilt"}) };
         let started = Instant::now();
-        let daemon = Daemon::knowing(known, serde_json::json!({}), discovery, None).await;
+        let daemon = Daemon::with_known_list(known, serde_json::json!({}), discovery, None).await;
         if knows || how == Fails::Slow {
             until("ready", async || daemon.is_ready().await).await;
             let most = if knows { 1_000 } else { 4_000 };
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins on loopback: engines of each kind, discovery, and a client; and the daemon between them.
+//! Test doubles on the loopback interface: engines of each kind, discovery, and a client; and a daemon
+//! between them.
 #![allow(dead_code)] // each test file uses its own part
 
 use meadowlug::config::{Config, Inference, Reload, Shared};
@@ -17,31 +18,32 @@
 
 pub const EVENTS: [&str; 3] = ["data: {\"a\":1}\n\n", "data: {\"b\":2}\n\n", "data: [DONE]\n\n"];
 
-/// What an engine does with a request once it has all of it.
+/// How an engine responds to a request that it has received completely.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
+    /// Responds normally.
     Well,
-    /// Well, after a while.
+    /// Responds normally after the given number of milliseconds.
     Slow(u64),
-    /// Says nothing, like a machine that has vanished.
+    /// Never responds, like a machine that has vanished.
     Silent,
-    /// Breaks the connection in the middle of its answer.
+    /// Breaks the connection in the middle of its response.
     Cut,
-    /// Does so once, and is well from then on.
+    /// Breaks the connection once, then responds normally.
     CutOnce,
-    /// Turns the request away with proof that it never ran.
+    /// Declines the request with proof that it never ran.
     Declines,
-    /// Answers, then closes the connection.
+    /// Responds, then closes the connection.
     Closes,
-    /// Finds every request at fault.
+    /// Rejects every request as invalid.
     Faults,
-    /// Answers with a list that lacks entries.
+    /// Responds with a list that lacks entries.
     Short,
-    /// Sends these bytes once and keeps the connection open; is well from then on.
+    /// Sends these bytes once and keeps the connection open, then responds normally.
     SaysOnce(&'static str),
 }
 
-/// A request as it was seen.
+/// A request as the engine received it.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub at: Instant,
@@ -51,39 +53,40 @@
     pub body: Vec<u8>,
 }
 
-/// Reads one message off a connection: its first line's words, its headers and its body.
+/// Reads one message from a connection: the words of its first line, its headers and its body.
 pub async fn message(stream: &mut (impl AsyncRead + Unpin)) -> Option<Seen> {
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\n") {
         text.push(stream.read_u8().await.ok()?);
     }
-    let text = String::from_utf8(text).expect("a head of text");
+    let text = String::from_utf8(text).expect("a head in valid UTF-8");
     let mut lines = text.split("\r\n");
-    let first = lines.next()?;
-    let mut words = first.split(' ').map(str::to_owned);
-    let pair = |line: &str| line.split_once(": ").map(|(n, v)| (n.to_ascii_lowercase(), v.to_owned()));
-    let headers: BTreeMap<_, _> = lines.filter_map(pair).collect();
-    let length = headers.get("content-length").map_or(0, |l| l.parse().expect("a length"));
+    let first_line = lines.next()?;
+    let mut words = first_line.split(' ').map(str::to_owned);
+    let header =
+        |line: &str| line.split_once(": ").map(|(name, value)| (name.to_ascii_lowercase(), value.to_owned()));
+    let headers: BTreeMap<_, _> = lines.filter_map(header).collect();
+    let length = headers.get("content-length").map_or(0, |l| l.parse().expect("a valid length"));
     let mut body = vec![0; length];
     stream.read_exact(&mut body).await.ok()?;
     Some(Seen { at: Instant::now(), method: words.next()?, path: words.next()?, headers, body })
 }
 
-/// An engine; what it is depends on the calls it gets.
+/// An engine; its role depends on the calls that it receives.
 pub struct Engine {
     pub uid: &'static str,
     pub model: &'static str,
     pub address: SocketAddr,
     pub mode: Rc<Cell<Mode>>,
-    /// Whether it takes releases without ever answering them.
+    /// True if it accepts releases without ever responding to them.
     pub mute_to_releases: Rc<Cell<bool>>,
     pub seen: Rc<RefCell<Vec<Seen>>>,
 }
 
 impl Engine {
     pub async fn start(uid: &'static str, model: &'static str) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+        let address = listener.local_addr().expect("the listener has an address");
         let (mode, seen) = (Rc::new(Cell::new(Mode::Well)), Rc::<RefCell<Vec<Seen>>>::default());
         let mute_to_releases = Rc::<Cell<bool>>::default();
         let mute = mute_to_releases.clone();
@@ -96,7 +99,7 @@
         engine
     }
 
-    /// How many requests it got on a path that begins so.
+    /// Returns the number of received requests whose path starts with the given text.
     pub fn count(&self, path: &str) -> usize {
         self.seen.borrow().iter().filter(|s| s.path.starts_with(path)).count()
     }
@@ -136,8 +139,8 @@
             _ => engine_answer(model, &request),
         };
         let cut = matches!(mode, Mode::Cut | Mode::CutOnce) && request.method == "POST";
-        let part = if cut { &answer[..answer.len() - 12] } else { &answer };
-        let written = stream.write_all(part.as_bytes()).await;
+        let sent_part = if cut { &answer[..answer.len() - 12] } else { &answer };
+        let written = stream.write_all(sent_part.as_bytes()).await;
         if cut || mode == Mode::Closes || written.is_err() {
             return;
         }
@@ -145,15 +148,17 @@
 }
 
 fn engine_answer(model: &str, request: &Seen) -> String {
-    let whole = |status: &str, body: String| {
+    let complete_response = |status: &str, body: String| {
         format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
     };
     let call: Value = serde_json::from_slice(&request.body).unwrap_or_default();
-    let entries = |list: &str| call[list].as_array().map_or(1, Vec::len);
+    let entry_count = |list: &str| call[list].as_array().map_or(1, Vec::len);
     match (request.method.as_str(), model) {
-        ("GET", _) if request.path == "/status/load" => whole("200 OK", json!({"x0": 0.25}).to_string()),
+        ("GET", _) if request.path == "/status/load" => {
+            complete_response("200 OK", json!({"x0": 0.25}).to_string())
+        }
         ("DELETE", _) => "HTTP/1.1 204 No Content\r\n\r\n".to_owned(),
-        (_, "reader") => whole("202 Accepted", "{\"cached_tokens\":0}".into()),
+        (_, "reader") => complete_response("202 Accepted", "{\"cached_tokens\":0}".into()),
         (_, "writer") => {
             let chunks: String = EVENTS.iter().map(|e| format!("{:x}\r\n{e}\r\n", e.len())).collect();
             format!(
@@ -162,28 +167,28 @@
         }
         (_, "embedder") => {
             let data: Vec<_> =
-                (0..entries("input")).map(|i| json!({"index": i, "embedding": [0.5]})).collect();
-            whole("200 OK", json!({"object": "list", "data": data}).to_string())
+                (0..entry_count("input")).map(|i| json!({"index": i, "embedding": [0.5]})).collect();
+            complete_response("200 OK", json!({"object": "list", "data": data}).to_string())
         }
         _ => {
-            let results: Vec<_> = (0..entries("documents")).map(|i| json!({"index": i})).collect();
-            whole("200 OK", json!({"results": results}).to_string())
+            let results: Vec<_> = (0..entry_count("documents")).map(|i| json!({"index": i})).collect();
+            complete_response("200 OK", json!({"results": results}).to_string())
         }
     }
 }
 
-/// Discovery: a list, its version, and those who wait for the next.
+/// A discovery server: a list, its revision, and the watches that wait for the next one.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
     list: Rc<RefCell<(u64, Vec<Value>)>>,
-    /// What the last version changed, if it is to be told as a change.
-    changed: Rc<RefCell<Vec<Value>>>,
-    news: Rc<Notify>,
-    /// Whether it is down: it closes what is open and what comes.
-    down: Rc<Cell<bool>>,
-    /// Versions as they were written to a watch, and when.
-    written: Rc<RefCell<Vec<(u64, Instant)>>>,
+    /// The targets that the last revision changed, if it is sent as a change.
+    changed_targets: Rc<RefCell<Vec<Value>>>,
+    list_changed: Rc<Notify>,
+    /// True while the server is down: it closes waiting watches at once, and other connections at their next request.
+    is_down: Rc<Cell<bool>>,
+    /// The revisions that were written to a watch, with the time of each.
+    written_revisions: Rc<RefCell<Vec<(u64, Instant)>>>,
 }
 
 impl Discovery {
@@ -191,56 +196,57 @@
         Self::at(1, engines.iter().map(|e| e.target("SERVING")).collect()).await
     }
 
-    /// One that begins with a list of that version.
-    pub async fn at(version: u64, targets: Vec<Value>) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+    /// Starts a server with a list of the given revision.
+    pub async fn at(revision: u64, targets: Vec<Value>) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+        let address = listener.local_addr().expect("the listener has an address");
         let discovery = Self {
             address,
-            list: Rc::new(RefCell::new((version, targets))),
-            changed: Rc::default(),
-            news: Rc::default(),
-            down: Rc::default(),
-            written: Rc::default(),
+            list: Rc::new(RefCell::new((revision, targets))),
+            changed_targets: Rc::default(),
+            list_changed: Rc::default(),
+            is_down: Rc::default(),
+            written_revisions: Rc::default(),
         };
-        let serving = discovery.clone();
+        let server = discovery.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(serving.clone().connection(stream));
+                spawn_local(server.clone().connection(stream));
             }
         });
         discovery
     }
 
-    /// Lists an engine in another state; gives the version from which it is.
+    /// Lists an engine in another state; returns the revision in which it is listed so.
     pub fn set(&self, engine: &Engine, state: &str) -> u64 {
         let (rev, targets) = &mut *self.list.borrow_mut();
         *rev += 1;
         for target in targets.iter_mut().filter(|t| t["uid"] == engine.uid) {
             *target = engine.target(state);
         }
-        self.news.notify_waiters();
+        self.list_changed.notify_waiters();
         *rev
     }
 
-    /// When a version, or a later one, was first written to a watch: from then on it counts as told.
-    pub fn told(&self, version: u64) -> Instant {
-        let written = self.written.borrow();
-        written.iter().find(|(rev, _)| *rev >= version).expect("it was told").1
+    /// Returns the time at which the revision, or a later one, was first written to a watch: from then on it
+    /// counts as announced.
+    pub fn told(&self, revision: u64) -> Instant {
+        let written_revisions = self.written_revisions.borrow();
+        written_revisions.iter().find(|(rev, _)| *rev >= revision).expect("the revision was written").1
     }
 
-    /// Whether that version, or a later one, was written to a watch.
-    pub fn has_told(&self, version: u64) -> bool {
-        self.written.borrow().iter().any(|(rev, _)| *rev >= version)
+    /// Returns true if the revision, or a later one, was written to a watch.
+    pub fn has_told(&self, revision: u64) -> bool {
+        self.written_revisions.borrow().iter().any(|(rev, _)| *rev >= revision)
     }
 
-    /// Lists engines more, and tells that as a change.
+    /// Lists further engines, and sends that as a change.
     pub fn change(&self, targets: Vec<Value>) {
         let (rev, listed) = &mut *self.list.borrow_mut();
         *rev += 1;
         listed.extend(targets.clone());
-        self.changed.replace(targets);
-        self.news.notify_waiters();
+        self.changed_targets.replace(targets);
+        self.list_changed.notify_waiters();
     }
 
     /// Lists one more engine.
@@ -248,43 +254,44 @@
         let (rev, targets) = &mut *self.list.borrow_mut();
         *rev += 1;
         targets.push(engine.target("SERVING"));
-        self.news.notify_waiters();
+        self.list_changed.notify_waiters();
     }
 
-    /// Has it go down, or come back.
-    pub fn set_down(&self, down: bool) {
-        self.down.set(down);
-        self.news.notify_waiters();
+    /// Takes the server down, or back up.
+    pub fn set_down(&self, is_down: bool) {
+        self.is_down.set(is_down);
+        self.list_changed.notify_waiters();
     }
 
     async fn connection(self, mut stream: TcpStream) {
         while let Some(request) = message(&mut stream).await {
-            if self.down.get() {
+            if self.is_down.get() {
                 return;
             }
             let index = request.path.split_once("index=").and_then(|(_, rest)| rest.split('&').next());
-            let index: u64 = index.map_or(0, |i| i.parse().expect("a version"));
+            let index: u64 = index.map_or(0, |i| i.parse().expect("a valid revision"));
             while self.list.borrow().0 <= index {
-                self.news.notified().await;
-                if self.down.get() {
+                self.list_changed.notified().await;
+                if self.is_down.get() {
                     return;
                 }
             }
             let (rev, targets) = self.list.borrow().clone();
-            let changed = self.changed.borrow().clone();
-            let all = changed.is_empty() || index + 1 != rev;
+            let changed_targets = self.changed_targets.borrow().clone();
+            let all = changed_targets.is_empty() || index + 1 != rev;
             let body =
-                json!({"rev": rev, "all": all, "targets": if all { targets } else { changed }}).to_string();
+                json!({"rev": rev, "all": all, "targets": if all { targets } else { changed_targets }})
+                    .to_string();
             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
             if stream.write_all(answer.as_bytes()).await.is_err() {
                 return;
             }
-            self.written.borrow_mut().push((rev, Instant::now()));
+            self.written_revisions.borrow_mut().push((rev, Instant::now()));
         }
     }
 }
 
-/// A client's answer; `whole` tells whether its framing came to its end.
+/// The response that a client received; `whole` is true if it is complete according to its framing.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -295,32 +302,32 @@
 
 impl Answer {
     pub fn json(&self) -> Value {
-        serde_json::from_str(&self.body).expect("a body of JSON")
+        serde_json::from_str(&self.body).expect("a JSON body")
     }
 }
 
-/// Sends one request on a connection of its own and reads its answer.
+/// Sends one request on a connection of its own and reads the response.
 pub async fn ask(to: SocketAddr, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
     let mut stream = TcpStream::connect(to).await.expect("the daemon listens");
     let mut text = format!("{method} {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n");
     headers.iter().for_each(|(name, value)| text += &format!("{name}: {value}\r\n"));
     text += &format!("Content-Length: {}\r\n\r\n{body}", body.len());
-    // A body that is refused early may not be read to its end.
+    // The daemon may refuse a request early without reading its body to the end.
     let _ = stream.write_all(text.as_bytes()).await;
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes).await;
-    let text = String::from_utf8(bytes).expect("text");
-    let (head, rest) = text.split_once("\r\n\r\n").expect("a head");
-    let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
-    let (mut body, mut whole) = (rest.to_owned(), true);
+    let text = String::from_utf8(bytes).expect("valid UTF-8");
+    let (head, rest) = text.split_once("\r\n\r\n").expect("a complete head");
+    let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a valid status");
+    let (mut body, mut complete) = (rest.to_owned(), true);
     if head.to_ascii_lowercase().contains("transfer-encoding: chunked") {
-        whole = rest.ends_with("0\r\n\r\n");
+        complete = rest.ends_with("0\r\n\r\n");
         body = rest.split("\r\n").filter(|l| l.starts_with("data") || l.is_empty()).collect();
     }
-    Answer { status, head: head.to_ascii_lowercase(), body, whole }
+    Answer { status, head: head.to_ascii_lowercase(), body, whole: complete }
 }
 
-/// A chat request of a class with so many milliseconds.
+/// Sends a chat request of the given class with a deadline in milliseconds.
 pub async fn chat(to: SocketAddr, id: &str, class: &str, deadline_ms: u64) -> Answer {
     let deadline = format!("{deadline_ms}m");
     let headers = [
@@ -333,7 +340,7 @@
     ask(to, "POST", "/v1/chat/completions", &headers, CHAT).await
 }
 
-/// A chat request as a client writes it.
+/// Returns the bytes of a chat request as a client sends them.
 pub fn chat_text(id: &str, class: &str) -> String {
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\nReq-Owner: desk\r\n\
@@ -352,7 +359,7 @@
     pub ended: tokio::task::JoinHandle<()>,
     config: Value,
     file: tempfile::NamedTempFile,
-    hangup: mpsc::Sender<()>,
+    reload_sender: mpsc::Sender<()>,
 }
 
 impl Daemon {
@@ -360,25 +367,25 @@
         Self::within(json!({}), discovery, inference).await
     }
 
-    /// A daemon that may hold no more than these limits.
+    /// Starts a daemon with the given resource limits and waits until it is ready.
     pub async fn within(limits: Value, discovery: &Discovery, inference: Option<Value>) -> Self {
         let daemon = Self::before_its_list(limits, discovery.address, inference).await;
         until("ready", async || daemon.is_ready().await).await;
         daemon
     }
 
-    /// Whether it takes clients.
+    /// Returns true if the daemon accepts clients.
     pub async fn is_ready(&self) -> bool {
         ask(self.address, "GET", "/ready", &[], "").await.status == 200
     }
 
-    /// A daemon that listens, whether or not it has heard of any engine.
+    /// Starts a daemon without waiting until it knows an engine.
     pub async fn before_its_list(limits: Value, discovery: SocketAddr, inference: Option<Value>) -> Self {
-        Self::knowing(Value::Null, limits, discovery, inference).await
+        Self::with_known_list(Value::Null, limits, discovery, inference).await
     }
 
-    /// A daemon that held this list last.
-    pub async fn knowing(
+    /// Starts a daemon with the given persisted list.
+    pub async fn with_known_list(
         known: Value,
         limits: Value,
         discovery: SocketAddr,
@@ -387,7 +394,7 @@
         Self::configured(Self::settings(), known, limits, discovery, inference).await
     }
 
-    /// The settings of a daemon unless others are told.
+    /// The default settings of a daemon.
     pub fn settings() -> Value {
         let class = |name: &str, effect: &str| json!({"name": name, "objectiveMs": 4000, "hardLimitMs": 20000, "effect": effect});
         json!({
@@ -399,7 +406,7 @@
         })
     }
 
-    /// A daemon of these settings.
+    /// Starts a daemon with the given settings.
     pub async fn configured(
         settings: Value,
         known: Value,
@@ -411,67 +418,67 @@
             "name": "n0", "listen": "", "discovery": discovery.to_string(), "seed": "5", "limits": limits,
             "known": known, "settings": settings,
         });
-        let told = config.clone();
-        let config = Config::decode(config.to_string().as_bytes()).expect("a lawful configuration");
-        let file = tempfile::NamedTempFile::new().expect("a file");
-        let (hangup, asked) = mpsc::channel(1);
-        let reload = Reload::new(file.path().into(), &config, asked);
-        let inference =
-            inference.map(|file| Inference::decode(file.to_string().as_bytes()).expect("a lawful file"));
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let operators = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let management = operators.local_addr().expect("an address");
+        let config_json = config.clone();
+        let config = Config::decode(config.to_string().as_bytes()).expect("a valid configuration");
+        let file = tempfile::NamedTempFile::new().expect("a temporary file");
+        let (reload_sender, reload_requests) = mpsc::channel(1);
+        let reload = Reload::new(file.path().into(), &config, reload_requests);
+        let inference = inference
+            .map(|file| Inference::decode(file.to_string().as_bytes()).expect("a valid inference file"));
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+        let address = listener.local_addr().expect("the listener has an address");
+        let management_listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+        let management = management_listener.local_addr().expect("the listener has an address");
         let shared = Shared::new(None, "n0");
-        let operation = Operation { management: Some(operators), shared };
+        let operation = Operation { management: Some(management_listener), shared };
         let stop = Rc::new(Notify::new());
-        let asked = stop.clone();
+        let stop_requested = stop.clone();
         let ended = spawn_local(async move {
-            let stop = async move { asked.notified().await };
+            let stop = async move { stop_requested.notified().await };
             meadowlug::daemon::run(config, inference, Some(reload), listener, operation, stop)
                 .await
-                .expect("a clean end");
+                .expect("the daemon ends without an error");
         });
-        Self { address, management, stop, ended, config: told, file, hangup }
+        Self { address, management, stop, ended, config: config_json, file, reload_sender }
     }
 
-    /// Has the daemon read a configuration again that names another address for discovery.
+    /// Makes the daemon reload a configuration with another discovery address.
     pub async fn move_discovery(&self, to: SocketAddr) {
         let mut config = self.config.clone();
         config["discovery"] = json!(to.to_string());
         self.reread(&config.to_string()).await;
     }
 
-    /// Has the daemon read a configuration again that differs in its settings alone.
+    /// Makes the daemon reload a configuration with other settings.
     pub async fn change_settings(&self, settings: Value) {
         let mut config = self.config.clone();
         config["settings"] = settings;
         self.reread(&config.to_string()).await;
     }
 
-    /// Has the daemon read its configuration again.
+    /// Makes the daemon reload its configuration from the given text.
     pub async fn reread(&self, text: &str) {
-        std::fs::write(self.file.path(), text).expect("it can be written");
-        self.hangup.send(()).await.expect("it listens");
+        std::fs::write(self.file.path(), text).expect("the file is writable");
+        self.reload_sender.send(()).await.expect("the daemon accepts the reload");
     }
 }
 
-/// Waits until something is so, for as long as a slow machine may need.
-pub async fn until(what: &str, mut so: impl AsyncFnMut() -> bool) {
+/// Waits until a condition holds; the time limit allows for a slow machine.
+pub async fn until(condition: &str, mut holds: impl AsyncFnMut() -> bool) {
     let start = Instant::now();
-    while !so().await {
-        assert!(start.elapsed() < Duration::from_secs(20), "never {what}");
+    while !holds().await {
+        assert!(start.elapsed() < Duration::from_secs(20), "condition not met in time: {condition}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Runs a test's tasks on this thread.
+/// Runs the tasks of a test on this thread.
 pub async fn local(test: impl Future<Output = ()>) {
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// An address at which nothing listens.
+/// Returns an address at which no process listens.
 pub async fn closed_port() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    listener.local_addr().expect("an address")
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    listener.local_addr().expect("the listener has an address")
 }
