--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,4 +1,4 @@
-//! The configuration file replaced under a running gateway, on real sockets.
+//! The configuration file is replaced while a gateway runs, on real sockets.
 
 mod loopback;
 use loopback::*;
@@ -6,7 +6,8 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-// Told another address the gateway stayed at the old one, and sent to engines long gone.
+// A gateway that was given another discovery address stayed at the old one and sent to engines that were long
+// gone.
 #[tokio::test]
 async fn watch_moves_without_a_gap() {
     local(async {
@@ -16,7 +17,7 @@
         let daemon = Daemon::start(&old, None).await;
         let ask = async |id: &str| chat(daemon.address, id, "lookup", 9000).await.status;
 
-        // Nothing answers there: the list it has and the old watch go on.
+        // No process listens at the new address: the current list and the old watch stay in use.
         daemon.move_discovery(closed_port().await).await;
         assert_eq!(ask("a1").await, 200);
         old.add(&r2);
@@ -27,13 +28,13 @@
             assert_eq!(ask(&format!("b{n}")).await, 200);
             r2.count("/v1/") > 0
         };
-        until("follows the old watch", sent_to_second).await;
+        until("the old watch is followed", sent_to_second).await;
 
-        // A file that makes no sense changes nothing and ends nothing.
+        // An invalid file changes nothing and stops nothing.
         daemon.reread("{").await;
         assert_eq!(ask("c1").await, 200);
 
-        // The new one lists an engine that the old one never told of, and not those it did.
+        // The new server lists an engine that the old one never listed, and not all of the old ones.
         let r3 = Engine::start("r3", "reader").await;
         let new = Discovery::at(9, vec![r3.target("SERVING"), writer.target("SERVING")]).await;
         daemon.move_discovery(new.address).await;
@@ -42,20 +43,20 @@
             assert_eq!(ask(&format!("d{n}")).await, 200);
             r3.count("/v1/") > 0
         };
-        until("follows the new watch", sent_to_third).await;
+        until("the new watch is followed", sent_to_third).await;
         old.set(&r2, "SERVING");
         for n in 0..8 {
             assert_eq!(ask(&format!("e{n}")).await, 200);
         }
-        assert!(r3.count("/v1/") >= 8, "the old watch has ended");
+        assert!(r3.count("/v1/") >= 8, "the old watch is still followed");
     })
     .await;
 }
 
-// The first answer of a new address counted as whole whatever it held: an agent that had just started, with no
-// list or an old one, took every engine out of use, and brought drained ones back into it.
+// The first response of a new address was accepted as a whole list whatever it held: an agent that had just
+// started, with no list or an old one, took every engine out of use and brought drained engines back.
 #[tokio::test]
-async fn address_that_is_behind_takes_no_engine_out_and_brings_none_back() {
+async fn address_with_an_older_revision_removes_no_engine_and_brings_none_back() {
     local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let (r3, writer) = (Engine::start("r3", "reader").await, Engine::start("w1", "writer").await);
@@ -68,43 +69,48 @@
             assert_eq!(chat(daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
         };
         let drained = old.set(&r1, "DRAINING");
-        until("told", async || old.has_told(drained)).await;
+        until("the drain is announced", async || old.has_told(drained)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let before = r1.count("/v1/");
+        let count_before = r1.count("/v1/");
 
-        // Nothing listed, then a list from before the drain that lacks an engine, then one with a drain.
+        // An empty list, then a list from before the drain that lacks an engine, then one with a drain.
         let empty = Discovery::at(1, Vec::new()).await;
         daemon.move_discovery(empty.address).await;
-        until("asked", async || empty.has_told(1)).await;
+        until("the empty list is sent", async || empty.has_told(1)).await;
         for _ in 0..8 {
             ask().await;
         }
-        let behind = Discovery::at(30, serving(&[&r1, &r3, &writer])).await;
-        daemon.move_discovery(behind.address).await;
-        until("asked", async || behind.has_told(30)).await;
+        let lagging = Discovery::at(30, serving(&[&r1, &r3, &writer])).await;
+        daemon.move_discovery(lagging.address).await;
+        until("the older list is sent", async || lagging.has_told(30)).await;
         for _ in 0..8 {
             ask().await;
         }
-        assert_eq!((r1.count("/v1/"), r3.count("/v1/")), (before, 0), "an old list brings nothing into use");
+        assert_eq!(
+            (r1.count("/v1/"), r3.count("/v1/")),
+            (count_before, 0),
+            "the older list brought an engine into use"
+        );
 
-        // It catches up: what it tells counts from then on, and nobody follows the old one.
+        // The new address catches up: its changes are accepted from then on, and the old address is no longer
+        // followed.
         for _ in 0..10 {
-            behind.set(&r1, "DRAINING");
+            lagging.set(&r1, "DRAINING");
         }
-        behind.add(&r3);
+        lagging.add(&r3);
         let mut caught_up = async || {
             ask().await;
             r3.count("/v1/") > 0
         };
-        until("caught up", &mut caught_up).await;
-        assert_eq!(r1.count("/v1/"), before);
+        until("the new address has caught up", &mut caught_up).await;
+        assert_eq!(r1.count("/v1/"), count_before);
     })
     .await;
 }
 
-// The revisions of a discovery that was set up anew begin again: its engines were never taken into use.
+// Revisions start again when discovery is set up anew: its engines were never taken into use.
 #[tokio::test]
-async fn address_that_stays_behind_is_another_history_and_counts() {
+async fn address_that_keeps_an_older_revision_is_accepted() {
     local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let writer = Engine::start("w1", "writer").await;
@@ -118,82 +124,83 @@
             assert_eq!(chat(daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
             r2.count("/v1/") > 0
         };
-        until("followed", &mut followed).await;
+        until("the new address is followed", &mut followed).await;
     })
     .await;
 }
 
-// Several orders in a row, with one that makes no sense among them, and the end right after: what had been taken
-// is answered, the last address counts, and the program ends in order.
+// Several reloads in a row, an invalid one among them, with a shutdown right after: accepted requests are
+// answered, the last address is in force, and the process ends without an error.
 #[rstest::rstest]
-#[case::moved_then_stopped(&["away", "spoilt", "back"])]
-#[case::spoilt_then_stopped(&["spoilt"])]
-#[case::stopped_alone(&[])]
+#[case::moved_then_stopped(&["away", "malformed", "back"])]
+#[case::malformed_then_stopped(&["malformed"])]
+#[case::only_stopped(&[])]
 #[tokio::test]
-async fn orders_in_a_row_and_the_end_right_after_lose_nothing(#[case] orders: &[&str]) {
+async fn reloads_in_a_row_and_a_shutdown_right_after_lose_nothing(#[case] reloads: &[&str]) {
     local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let old = Discovery::start(&[&reader, &writer]).await;
         let daemon = Daemon::start(&old, None).await;
-        let nothing = closed_port().await;
+        let unreachable = closed_port().await;
         let address = daemon.address;
-        let asked = (0..8).map(|n| format!("a{n}"));
-        let taken: Vec<_> = asked
+        let ids = (0..8).map(|n| format!("a{n}"));
+        let responses: Vec<_> = ids
             .map(|id| spawn_local(async move { chat(address, &id, "lookup", 9000).await.status }))
             .collect();
-        // Each comes to its first engine before the orders do.
-        until("taken", async || reader.count("/v1/") == 8).await;
-        for order in orders {
-            match *order {
-                "away" => daemon.move_discovery(nothing).await,
+        // Each request reaches its first engine before the reloads.
+        until("the requests reach the reader", async || reader.count("/v1/") == 8).await;
+        for reload in reloads {
+            match *reload {
+                "away" => daemon.move_discovery(unreachable).await,
                 "back" => daemon.move_discovery(old.address).await,
                 _ => daemon.reread(r#"{"listen":"#).await,
             }
         }
         daemon.stop.notify_one();
-        for answer in taken {
-            assert_eq!(answer.await.expect("an answer"), 200);
+        for answer in responses {
+            assert_eq!(answer.await.expect("the client task ends"), 200);
         }
         tokio::time::timeout(Duration::from_secs(15), daemon.ended)
             .await
-            .expect("in time")
-            .expect("in order");
-        assert_eq!(writer.count("/v1/"), 8, "nothing was written twice");
+            .expect("the daemon ends within the time limit")
+            .expect("the daemon ends without an error");
+        assert_eq!(writer.count("/v1/"), 8, "each request was written once");
     })
     .await;
 }
 
-// Asked to move or to end before it had ever heard of an engine: a start into an outage of discovery.
+// A reload or shutdown before the daemon knew any engine: a start during an outage of discovery.
 #[rstest::rstest]
-#[case::moved_to_where_there_is_a_list(&["away", "there"], true)]
-#[case::nothing_but_orders_without_sense(&["spoilt", "away", "spoilt"], false)]
-#[case::no_order(&[], false)]
+#[case::moved_to_an_address_with_a_list(&["away", "there"], true)]
+#[case::no_usable_reload(&["malformed", "away", "malformed"], false)]
+#[case::no_reload(&[], false)]
 #[tokio::test]
-async fn orders_before_the_first_list(#[case] orders: &[&str], #[case] serves: bool) {
+async fn reloads_before_the_first_list(#[case] reloads: &[&str], #[case] serves: bool) {
     local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
-        let nothing = closed_port().await;
-        let daemon = Daemon::before_its_list(json!({}), nothing, None).await;
+        let unreachable = closed_port().await;
+        let daemon = Daemon::before_its_list(json!({}), unreachable, None).await;
         assert!(!daemon.is_ready().await);
-        for order in orders {
-            match *order {
+        for reload in reloads {
+            match *reload {
                 "away" => daemon.move_discovery(closed_port().await).await,
                 "there" => daemon.move_discovery(discovery.address).await,
                 _ => daemon.reread(r#"{"listen":"#).await,
             }
         }
         if serves {
-            until("ready", async || daemon.is_ready().await).await;
+            until("the daemon is ready", async || daemon.is_ready().await).await;
             assert_eq!(chat(daemon.address, "a1", "lookup", 9000).await.status, 200);
         } else {
-            // It waits for an engine no longer than its client does, and says so.
+            // The request waits for an engine no longer than its deadline allows, and then gets an error
+            // response.
             let answer = chat(daemon.address, "a1", "lookup", 300).await;
             assert!((400..600).contains(&answer.status), "{}", answer.status);
         }
         daemon.stop.notify_one();
         let ended = tokio::time::timeout(Duration::from_secs(15), daemon.ended).await;
-        ended.expect("in time").expect("in order");
+        ended.expect("the daemon ends within the time limit").expect("the daemon ends without an error");
     })
     .await;
 }
