--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -1,63 +1,64 @@
-//! The one guard for closing a client's connection, and why one was closed.
+//! Decides whether a client connection may be closed, and records why a connection was closed.
 
 use super::connection::Connection;
-use super::transport::{end_writing, is_to_be_repeated};
+use super::transport::{end_writing, must_retry};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long a connection that was asked to close may take to write out what it has.
-const LAST_WORDS: Duration = Duration::from_millis(500);
-/// How long what a client still sends after its answer is read.
-const LINGER: Duration = Duration::from_millis(1500);
+/// Maximum time a connection that is shut down may take to write out its remaining data.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum time in which data that a client still sends after its response are read and discarded.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What an order to close finds a connection doing.
+/// The effect of closing a connection in its current state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Closing {
-    /// A request is being answered, or something has come that was not read: it stays open.
-    Stays,
-    /// A request has come in part: its client is told that its time is over.
-    CutsRequest,
-    /// It rests between two requests, or none ever came.
-    Rests,
+    /// A request is being answered, or received data are unread: the connection stays open.
+    StaysOpen,
+    /// A request has arrived in part: its client gets a timeout response.
+    InterruptsRequest,
+    /// The connection is idle between two requests, or none ever arrived.
+    IsIdle,
 }
 
 impl Closing {
-    /// What closing the connection would do now.
+    /// Returns the effect that closing the connection would have now.
     pub(super) fn of(connection: &Connection) -> Self {
         if connection.is_answering() {
-            // Its request was read in the very turn in which the order came.
-            Self::Stays
+            // The request was read in the same event loop turn in which the close was requested.
+            Self::StaysOpen
         } else if connection.in_request() {
-            Self::CutsRequest
-        } else if connection.has_news() {
-            // A request or the client's own close crossed the order.
-            Self::Stays
+            Self::InterruptsRequest
+        } else if connection.has_unread_input() {
+            // A request, or the close of the client, arrived at the same moment as the close was requested.
+            Self::StaysOpen
         } else {
-            Self::Rests
+            Self::IsIdle
         }
     }
 }
 
-/// Why a connection was closed.
+/// The reason for which a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed, reset, or broke the protocol.
+    /// The client closed or reset it, or violated the protocol.
     Client,
-    /// The last answer on it was given, by the client's wish or since the gateway sends clients away.
+    /// The last response on it was sent, either at the request of the client or because the gateway is
+    /// draining or shutting down.
     Answered,
-    /// A request on it did not come to its end in time.
+    /// A request on it did not arrive completely in time.
     RequestTimeout,
-    /// It stood idle for too long.
+    /// It was idle for too long.
     Idle,
-    /// Another connection needed its place.
+    /// It was closed to make room for another connection.
     MadeRoom,
-    /// It rested when the gateway sent its clients away.
+    /// It was idle when the gateway started to drain or shut down.
     SentAway,
 }
 
 impl CloseReason {
-    /// Its name in the log and among the figures.
+    /// Returns the name used in the log and in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Client => "client",
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Whether the connection rested between two requests: what comes on it then was not read.
-    pub(super) fn is_of_resting(self) -> bool {
+    /// Returns true if the connection was idle between two requests: data that arrive then were not read.
+    pub(super) fn was_idle(self) -> bool {
         matches!(self, Self::Idle | Self::MadeRoom | Self::SentAway)
     }
 }
@@ -78,38 +79,40 @@
 /// A connection that was closed.
 #[derive(Clone, Debug)]
 pub struct ClosedConnection {
-    /// Its number among those of its listener.
+    /// Its number among the connections of its listener.
     pub number: u64,
-    /// Why it was closed.
+    /// The reason for which it was closed.
     pub reason: CloseReason,
-    /// The id of a request that had been read on it and got no answer though its client waits: there must be none.
+    /// The id of a request that was read on it and got no response although its client still waits. This must
+    /// not happen.
     pub unanswered: Option<Rc<str>>,
 }
 
-/// Lets a connection that rests, and was told to shut down, end in order.
-pub(super) async fn last_words<T, E>(served: impl Future<Output = Result<T, E>>) -> Result<(), E> {
-    match tokio::time::timeout(LAST_WORDS, served).await {
+/// Finishes an idle connection that was told to shut down.
+pub(super) async fn finish_shutdown<T, E>(served: impl Future<Output = Result<T, E>>) -> Result<(), E> {
+    match tokio::time::timeout(SHUTDOWN_TIMEOUT, served).await {
         Ok(Err(error)) => Err(error),
         Ok(Ok(_)) | Err(_) => Ok(()),
     }
 }
 
-/// Reads on for a while what a client still sends, so that the answer that came before its end reaches it:
-/// closed with bytes unread, the connection would be reset and the answer with it.
+/// Shuts down the sending side, then reads and discards for a while what the client still sends, so that a
+/// response sent before the end of its request reaches the client. Closing a socket with unread bytes resets
+/// the connection, and the response would be lost.
 pub(super) async fn linger(stream: &TcpStream, buffer: usize) {
     if end_writing(stream).is_err() {
         return;
     }
     let mut discarded = vec![0; buffer];
-    let drained = async {
+    let drain = async {
         while stream.readable().await.is_ok() {
             match stream.try_read(&mut discarded) {
                 Ok(0) => return,
-                Err(error) if !is_to_be_repeated(&error) => return,
+                Err(error) if !must_retry(&error) => return,
                 _ => {}
             }
         }
     };
-    // Whoever sends for longer has had its answer.
-    let _ = tokio::time::timeout(LINGER, drained).await;
+    // A client that sends for longer has received its response by now.
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, drain).await;
 }
