--- a/src/config/list.rs
+++ b/src/config/list.rs
@@ -1,6 +1,6 @@
 //! Discovery's list of engines, and the names that the list uses.
 
-use crate::gateway::{Change, Listed, News};
+use crate::gateway::{Change, ChangeContent, ListedEngine};
 use crate::interface::{Condition, Entry, Micros, RosterForm, ServerId};
 use serde::Deserialize;
 use std::collections::{HashMap, HashSet};
@@ -122,7 +122,7 @@
         self.condition() == Condition::Ready
     }
 
-    fn to_listed(&self, names: &Names, numbers: &mut Numbers) -> Option<Listed> {
+    fn to_listed(&self, names: &Names, numbers: &mut Numbers) -> Option<ListedEngine> {
         let Some(kind) = index_of(&names.kinds, &self.model) else {
             log::debug!("list entry of an unknown model skipped uid={} model={}", self.uid, self.model);
             return None;
@@ -135,7 +135,7 @@
             condition: self.condition(),
             started_at: (self.boot_ms.max(0.0) * 1000.0) as Micros,
         };
-        Some(Listed {
+        Some(ListedEngine {
             entry,
             name: Arc::from(self.uid.as_str()),
             endpoint: Arc::from(self.endpoint.as_str()),
@@ -146,13 +146,13 @@
 impl List {
     /// Converts the list to a change for the gateway and frees the ids of engines that are no longer listed.
     pub fn change(&self, names: &Names, numbers: &mut Numbers) -> Change {
-        let news = News::Roster {
+        let content = ChangeContent::Roster {
             form: if self.all { RosterForm::Full } else { RosterForm::Delta },
             engines: self.targets.iter().filter_map(|t| t.to_listed(names, numbers)).collect(),
         };
         let by_uid: HashMap<&str, &Target> = self.targets.iter().map(|t| (t.uid.as_str(), t)).collect();
         numbers.retain(|uid| by_uid.get(uid).map_or(!self.all, |target| target.state != GONE));
-        Change { revision: self.rev, news }
+        Change { revision: self.rev, content }
     }
 }
 
@@ -175,7 +175,8 @@
         let text = format!(r#"{{"rev":3,"all":true,"targets":[{malformed},{valid}]}}"#);
         let list: List = serde_json::from_str(&text).expect("the list can be decoded");
         let names = Names { kinds: vec!["k".into()], ..Names::default() };
-        let News::Roster { engines, .. } = list.change(&names, &mut Numbers::default()).news else {
+        let ChangeContent::Roster { engines, .. } = list.change(&names, &mut Numbers::default()).content
+        else {
             panic!("the change is no roster");
         };
         let conditions: Vec<_> =
@@ -195,8 +196,10 @@
         let mut apply = |targets: Vec<serde_json::Value>| {
             let list = serde_json::json!({"rev": 1, "all": false, "targets": targets});
             let list: List = serde_json::from_value(list).expect("the list can be decoded");
-            match list.change(&names, &mut numbers).news {
-                News::Roster { engines, .. } => engines.iter().map(|e| e.entry.server).collect::<Vec<_>>(),
+            match list.change(&names, &mut numbers).content {
+                ChangeContent::Roster { engines, .. } => {
+                    engines.iter().map(|e| e.entry.server).collect::<Vec<_>>()
+                }
                 _ => panic!("the change is no roster"),
             }
         };
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -403,7 +403,7 @@
         assert_eq!(config.load.read(br#"{"active":7,"x0":0.5}"#).memory_share, Some(0.5));
         let change =
             config.known.expect("the file has a known list").change(&config.names, &mut Numbers::default());
-        let crate::gateway::News::Roster { engines, .. } = change.news else {
+        let crate::gateway::ChangeContent::Roster { engines, .. } = change.content else {
             panic!("the change is no roster")
         };
         let entry = &engines[0].entry;
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -1,7 +1,7 @@
 //! Rereads the configuration file on request and emits its settings as revisioned changes.
 
 use super::{Config, ConfigError, RestartOnly, config_error};
-use crate::gateway::{Change, Changes, News};
+use crate::gateway::{Change, ChangeContent, Changes};
 use crate::interface::Settings;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -85,7 +85,10 @@
             match self.read_with_retries().await.and_then(|config| self.apply(config)) {
                 Ok(settings) => {
                     self.revision += 1;
-                    return Some(Change { revision: self.revision, news: News::Settings(settings) });
+                    return Some(Change {
+                        revision: self.revision,
+                        content: ChangeContent::Settings(settings),
+                    });
                 }
                 Err(error) => log::error!("reload refused, the previous settings stay: {error}"),
             }
@@ -137,8 +140,8 @@
         let mut reload = Reload::new(file.path().into(), &running, reload_requests);
         let address = reload.discovery();
         let change = reload.next().await;
-        let applied = change.map(|change| match change.news {
-            News::Settings(settings) => settings.replicas,
+        let applied = change.map(|change| match change.content {
+            ChangeContent::Settings(settings) => settings.replicas,
             _ => panic!("the change holds no settings"),
         });
         assert_eq!((applied, &**address.borrow()), (replicas, discovery));
--- a/src/config/shared.rs
+++ b/src/config/shared.rs
@@ -1,7 +1,7 @@
 //! Folder shared by the processes of one gateway while a new version replaces an old one. The folder holds
 //! the operator commands in force and the identifier of the process that accepts clients.
 
-use crate::gateway::{Change, Changes, News};
+use crate::gateway::{Change, ChangeContent, Changes};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -163,7 +163,7 @@
             });
         }
         self.revision += 1;
-        Some(Change { revision: self.revision, news: News::Withheld(self.shared.withheld()) })
+        Some(Change { revision: self.revision, content: ChangeContent::Withheld(self.shared.withheld()) })
     }
 }
 
@@ -172,8 +172,8 @@
     use super::*;
 
     fn withheld_names(change: Option<Change>) -> Vec<String> {
-        match change.map(|change| change.news) {
-            Some(News::Withheld(names)) => names.iter().map(ToString::to_string).collect(),
+        match change.map(|change| change.content) {
+            Some(ChangeContent::Withheld(names)) => names.iter().map(ToString::to_string).collect(),
             other => panic!("not a set of withheld engines: {other:?}"),
         }
     }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::config::{self, Bounds, Config};
 use crate::front::{BodyReader, Fronts, Inference, Management, Model, Platform};
-use crate::gateway::{self, Changes, Gateway, News, Tuning};
+use crate::gateway::{self, ChangeContent, Changes, Gateway, Tuning};
 use crate::interface::Settings;
 use crate::net::{self, Asking, HttpEngines, Phase, Pool, PoolLimits, ServeLimits, Watch};
 use std::error::Error;
@@ -43,14 +43,14 @@
 /// Forwards changes from a source to a driver until either of them ends.
 async fn forward_changes(mut changes: impl Changes, gateway: Gateway<HttpEngines>) {
     while let Some(change) = changes.next().await {
-        match &change.news {
-            News::Settings(_) => log::info!("settings rev={}", change.revision),
-            News::Withheld(names) => log::info!("withheld engines={}", names.len()),
-            News::Roster { form, engines } => {
+        match &change.content {
+            ChangeContent::Settings(_) => log::info!("settings rev={}", change.revision),
+            ChangeContent::Withheld(names) => log::info!("withheld engines={}", names.len()),
+            ChangeContent::Roster { form, engines } => {
                 log::info!("roster rev={} form={form:?} entries={}", change.revision, engines.len());
             }
         }
-        if gateway.tell(change).is_err() {
+        if gateway.apply_change(change).is_err() {
             return;
         }
     }
@@ -58,8 +58,8 @@
 
 fn driver_tuning(bounds: &Bounds) -> Tuning {
     let mut tuning = Tuning::default();
-    tuning.limits.requests = bounds.requests;
-    tuning.limits.bytes = bounds.open_chat_bytes;
+    tuning.limits.max_requests = bounds.requests;
+    tuning.limits.max_body_bytes = bounds.open_chat_bytes;
     tuning
 }
 
@@ -101,9 +101,9 @@
         let mut models = Vec::new();
         for pool in &file.pools {
             let mut tuning = driver_tuning(&self.bounds);
-            tuning.limits.keep = file.keep_answers();
-            tuning.limits.bytes = self.bounds.inference_bytes / 2 / file.pools.len();
-            tuning.limits.keep_bytes = tuning.limits.bytes;
+            tuning.limits.answer_retention = file.keep_answers();
+            tuning.limits.max_body_bytes = self.bounds.inference_bytes / 2 / file.pools.len();
+            tuning.limits.max_retained_bytes = tuning.limits.max_body_bytes;
             let max_answer = self.bounds.max_answer_bytes;
             let engines =
                 HttpEngines::new(self.pool.clone(), config::LoadNames::default(), false, max_answer);
@@ -253,31 +253,32 @@
     }
     // If a new version already accepts clients on the same socket, this process must accept none any more.
     let superseded = shared.is_superseded();
-    log::info!("stopping open={} superseded={superseded}", chat.open());
+    log::info!("stopping open={} superseded={superseded}", chat.open_request_count());
     phase.send_replace(if superseded { Phase::Superseded } else { Phase::Leaving });
     let plan = StopPlan::new(Instant::now(), &chat.settings(), config.resume);
-    gateways.iter().for_each(|gateway| gateway.leave(plan.schedule));
+    gateways.iter().for_each(|gateway| gateway.shut_down(plan.schedule));
     if !superseded {
         tokio::time::sleep(plan.serve_for).await;
         phase.send_replace(Phase::Closing);
     }
     tokio::select! {
         served = &mut served => served?,
-        () = tokio::time::sleep_until(plan.schedule.answers_by) => {
+        () = tokio::time::sleep_until(plan.schedule.answer_deadline) => {
             // Requests still open are ended now, because the process is killed shortly afterwards.
             phase.send_replace(Phase::Ended);
             served.await?;
         }
     }
     wait_for_releases(&gateways, plan.ends_by).await;
-    log::info!("stopped open={}", chat.open());
+    log::info!("stopped open={}", chat.open_request_count());
     Ok(())
 }
 
 /// Waits until every state held by servers has been released, or until the process has to end.
 async fn wait_for_releases(gateways: &[Gateway<HttpEngines>], deadline: Instant) {
     tokio::time::sleep(RELEASE_START_DELAY).await;
-    let is_busy = |gateway: &Gateway<HttpEngines>| gateway.open() > 0 || gateway.is_releasing();
+    let is_busy =
+        |gateway: &Gateway<HttpEngines>| gateway.open_request_count() > 0 || gateway.has_pending_releases();
     while gateways.iter().any(is_busy) && Instant::now() < deadline {
         tokio::time::sleep(RELEASE_POLL_INTERVAL).await;
     }
--- a/src/daemon/stop.rs
+++ b/src/daemon/stop.rs
@@ -1,6 +1,6 @@
 //! Schedule of a planned stop. The process is killed some time after it was asked to stop.
 
-use crate::gateway::Departure;
+use crate::gateway::ShutdownSchedule;
 use crate::interface::Settings;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -31,7 +31,7 @@
 /// Times of the steps that follow a request to stop.
 pub(super) struct StopPlan {
     /// Latest times for answering requests and for ending running answers.
-    pub(super) schedule: Departure,
+    pub(super) schedule: ShutdownSchedule,
     /// Time for which new connections and requests are still accepted.
     pub(super) serve_for: Duration,
     /// Time at which the process ends, even if work is left.
@@ -47,10 +47,10 @@
         let kill_delay = counted_deadline + KILL_MARGIN;
         let (hand_off_from, hand_off_until) =
             (kill_delay.mul_f64(HAND_OFF_FRACTIONS.0), kill_delay.mul_f64(HAND_OFF_FRACTIONS.1));
-        let schedule = Departure {
-            take_until: (!resume).then_some(requested_at + MAX_SERVE_WITHOUT_RESUME),
-            answers_by: requested_at + kill_delay - ANSWER_MARGIN,
-            hand_over: resume.then_some((requested_at + hand_off_from, hand_off_until - hand_off_from)),
+        let schedule = ShutdownSchedule {
+            accept_until: (!resume).then_some(requested_at + MAX_SERVE_WITHOUT_RESUME),
+            answer_deadline: requested_at + kill_delay - ANSWER_MARGIN,
+            hand_off: resume.then_some((requested_at + hand_off_from, hand_off_until - hand_off_from)),
         };
         let serve_for = SERVE_BASE + counted_deadline.mul_f64(SERVE_DEADLINE_FRACTION);
         let serve_for = if resume { serve_for } else { serve_for.min(MAX_SERVE_WITHOUT_RESUME) };
--- a/src/front/management.rs
+++ b/src/front/management.rs
@@ -2,7 +2,7 @@
 
 use super::reply;
 use crate::config::Shared;
-use crate::gateway::{Change, Gateway, News, PREFIX};
+use crate::gateway::{Change, ChangeContent, Gateway, PREFIX};
 use crate::net::{Front, FrontBody, HttpEngines, Phase};
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -84,7 +84,7 @@
     }
 
     fn stats(&self) -> Response<FrontBody> {
-        let statistics = self.gateway.figures();
+        let statistics = self.gateway.statistics();
         let mut text = String::new();
         let mut write_metric = |name: &str, kind: &str, values: &[(String, u64)]| {
             // Writing to a string cannot fail.
@@ -94,7 +94,7 @@
             }
         };
         let mut handled = Vec::new();
-        for (class, counts) in self.classes.iter().zip(&statistics.handled) {
+        for (class, counts) in self.classes.iter().zip(&statistics.requests_by_class) {
             let class = class.replace('\\', "\\\\").replace('"', "\\\"");
             let counts =
                 [("passed", counts.served), ("dropped", counts.refused), ("bad_gateway", counts.failed)];
@@ -105,16 +105,16 @@
         let unlabelled = |value: u64| [(String::new(), value)];
         write_metric("handled", "counter", &handled);
         write_metric("upstream_tries", "counter", &unlabelled(self.sent_attempts.get()));
-        write_metric("in_progress", "gauge", &unlabelled(statistics.open as u64));
-        write_metric("known_engines", "gauge", &unlabelled(statistics.listed as u64));
-        write_metric("skipped_engines", "gauge", &unlabelled(statistics.avoided as u64));
+        write_metric("in_progress", "gauge", &unlabelled(statistics.open_requests as u64));
+        write_metric("known_engines", "gauge", &unlabelled(statistics.listed_engines as u64));
+        write_metric("skipped_engines", "gauge", &unlabelled(statistics.avoided_engines as u64));
         text += &self.gateway.metrics().text();
         reply::complete(StatusCode::OK, "text/plain; version=0.0.4", text.into())
     }
 
     fn set_withheld(&self, id: Option<&str>, withheld: bool) -> Response<FrontBody> {
         let Some(id) = id else { return reply::error(StatusCode::BAD_REQUEST, "host: missing") };
-        if !self.gateway.has_listed(id) {
+        if !self.gateway.knows_engine(id) {
             return reply::error(StatusCode::NOT_FOUND, "no engine of that id was listed");
         }
         if let Err(error) = self.shared.withhold(id, withheld) {
@@ -122,8 +122,8 @@
             return reply::error(StatusCode::INTERNAL_SERVER_ERROR, "the order could not be written down");
         }
         log::info!("operator command uid={id} withheld={withheld}");
-        let news = News::Withheld(self.shared.withheld());
-        match self.gateway.tell(Change { revision: 0, news }) {
+        let content = ChangeContent::Withheld(self.shared.withheld());
+        match self.gateway.apply_change(Change { revision: 0, content }) {
             Ok(()) => done_response(),
             Err(rejected) => reply::rejection(rejected),
         }
@@ -136,7 +136,7 @@
             _ => None,
         });
         if changed {
-            log::info!("drain start={start} open={}", self.gateway.open());
+            log::info!("drain start={start} open={}", self.gateway.open_request_count());
         }
         if changed && start {
             let phase = self.phase.clone();
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -5,7 +5,7 @@
 };
 use super::reply;
 use crate::config::{Names, index_of};
-use crate::gateway::{Fate, Gateway, Invariant, Submission, Ticket};
+use crate::gateway::{Gateway, Invariant, RequestResult, Submission, Ticket};
 use crate::interface::{Arrival, Class, Micros, RequestId};
 use crate::net::{ClosedConnection, FrontBody, HttpEngines, Job, Manner};
 use hyper::body::Incoming;
@@ -41,7 +41,7 @@
 
     fn count_refused(&self, class: Option<usize>) {
         if let Some(class) = class {
-            self.gateway.count(class, Fate::Refused);
+            self.gateway.count_result(class, RequestResult::Refused);
         }
     }
 
@@ -53,7 +53,7 @@
         if let Some(id) = &closed.unanswered {
             let request = RequestId(Arc::from(&**id));
             let detail = format!("connection={number} reason={reason}");
-            self.gateway.invariants().violated(Invariant::NoCloseUnanswered, &request, detail);
+            self.gateway.invariants().report_violation(Invariant::NoCloseUnanswered, &request, detail);
         }
     }
 
--- a/src/front/reply.rs
+++ b/src/front/reply.rs
@@ -90,8 +90,8 @@
             response.headers_mut().insert(CONTENT_TYPE, content_type);
             response
         }
-        Answer::Whole(body) => json(StatusCode::OK, body),
-        Answer::Faulty(body) => json(StatusCode::BAD_REQUEST, body),
+        Answer::Complete(body) => json(StatusCode::OK, body),
+        Answer::InvalidRequest(body) => json(StatusCode::BAD_REQUEST, body),
         Answer::Refused { retry_after } => {
             refusal(StatusCode::TOO_MANY_REQUESTS, "refused; nothing has run", retry_after)
         }
--- a/src/gateway/accounting.rs
+++ b/src/gateway/accounting.rs
@@ -1,6 +1,6 @@
 //! Last stage: sends the final answer of each request to its callers and counts the answers.
 
-use super::figures::{Fate, LiveStatistics};
+use super::figures::{LiveStatistics, RequestResult};
 use super::intake::Caller;
 use super::relay::RelayEnd;
 use super::{Answer, EventStream};
@@ -14,7 +14,7 @@
     served: u64,
     refused: u64,
     failed: u64,
-    faulty: u64,
+    invalid_requests: u64,
     abandoned: u64,
     broken: u64,
     handed_off: u64,
@@ -44,14 +44,14 @@
         let counted_as = match &answer {
             // A streamed answer is counted when it has ended.
             Answer::Events(_) => None,
-            Answer::Whole(_) => Some((&mut counts.served, Fate::Served)),
-            Answer::Faulty(_) => Some((&mut counts.faulty, Fate::Failed)),
-            Answer::Refused { .. } => Some((&mut counts.refused, Fate::Refused)),
-            Answer::Failed { .. } => Some((&mut counts.failed, Fate::Failed)),
+            Answer::Complete(_) => Some((&mut counts.served, RequestResult::Served)),
+            Answer::InvalidRequest(_) => Some((&mut counts.invalid_requests, RequestResult::Failed)),
+            Answer::Refused { .. } => Some((&mut counts.refused, RequestResult::Refused)),
+            Answer::Failed { .. } => Some((&mut counts.failed, RequestResult::Failed)),
         };
-        if let Some((count, fate)) = counted_as {
+        if let Some((count, result)) = counted_as {
             *count += 1;
-            self.statistics.count(class, fate);
+            self.statistics.count_result(class, result);
         }
         drop(counts);
         let mut callers = callers.into_iter();
@@ -65,18 +65,18 @@
     /// Counts a streamed answer that has ended.
     pub(super) fn record_relay_end(&self, class: usize, id: &RequestId, end: &RelayEnd) {
         let mut counts = self.counts.borrow_mut();
-        let (count, fate) = match end {
-            RelayEnd::Complete => (&mut counts.served, Some(Fate::Served)),
+        let (count, result) = match end {
+            RelayEnd::Complete => (&mut counts.served, Some(RequestResult::Served)),
             RelayEnd::ClientGone => (&mut counts.abandoned, None),
-            RelayEnd::HandedOff => (&mut counts.handed_off, Some(Fate::Failed)),
+            RelayEnd::HandedOff => (&mut counts.handed_off, Some(RequestResult::Failed)),
             RelayEnd::Broken(error) => {
                 log::warn!("stream broken request={} {error}", id.0);
-                (&mut counts.broken, Some(Fate::Failed))
+                (&mut counts.broken, Some(RequestResult::Failed))
             }
         };
         *count += 1;
-        if let Some(fate) = fate {
-            self.statistics.count(class, fate);
+        if let Some(result) = result {
+            self.statistics.count_result(class, result);
         }
     }
 
@@ -94,7 +94,7 @@
             counts.served,
             counts.refused,
             counts.failed,
-            counts.faulty,
+            counts.invalid_requests,
             counts.abandoned,
             counts.broken,
             counts.handed_off
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -12,13 +12,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Maximum number of open requests.
-    pub requests: usize,
+    pub max_requests: usize,
     /// Maximum total size of the bodies of open requests, in bytes.
-    pub bytes: usize,
+    pub max_body_bytes: usize,
     /// Time for which the answer to a request under an idempotency key is retained.
-    pub keep: Duration,
+    pub answer_retention: Duration,
     /// Maximum total size of retained answers, in bytes.
-    pub keep_bytes: usize,
+    pub max_retained_bytes: usize,
 }
 
 /// An idempotency key and a fingerprint, which must be the same for all requests under the key.
@@ -109,7 +109,9 @@
         if self.open_requests.contains_key(id) {
             return Err(Rejected::Duplicate);
         }
-        if self.open_requests.len() >= self.limits.requests || self.bytes + size > self.limits.bytes {
+        if self.open_requests.len() >= self.limits.max_requests
+            || self.bytes + size > self.limits.max_body_bytes
+        {
             return Err(Rejected::Busy);
         }
         self.bytes += size;
@@ -144,7 +146,7 @@
             if retain_answer {
                 let size = answer.retained_size();
                 self.retained_bytes += size;
-                self.retained.push_back((Instant::now() + self.limits.keep, key.clone(), size));
+                self.retained.push_back((Instant::now() + self.limits.answer_retention, key.clone(), size));
                 self.keys.insert(key, (fingerprint, KeyState::Completed(answer.copy_for_repeat())));
                 self.evict_retained();
             }
@@ -160,14 +162,14 @@
     }
 
     /// Returns the number of open requests.
-    pub(super) fn open(&self) -> usize {
+    pub(super) fn open_request_count(&self) -> usize {
         self.open_requests.len()
     }
 
     /// Drops retained answers, the oldest first, that have expired or exceed the size limit.
     fn evict_retained(&mut self) {
         while let Some((expires_at, key, size)) = self.retained.front()
-            && (*expires_at <= Instant::now() || self.retained_bytes > self.limits.keep_bytes)
+            && (*expires_at <= Instant::now() || self.retained_bytes > self.limits.max_retained_bytes)
         {
             self.keys.remove(key);
             self.retained_bytes -= size;
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -5,7 +5,7 @@
 use super::invariants::HELD_GRACE;
 use super::open_request::{Attempt, AttemptState};
 use super::relay::{Relay, RelayEnd};
-use super::{Answer, AttemptError, Call, Engines, Replied, Reply, SendGuard};
+use super::{Answer, AttemptError, Call, EngineReply, Engines, Reply, SendGuard};
 use crate::interface::*;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -39,18 +39,19 @@
             return;
         }
         let (server, is_read) = (sent_attempt.server, sent_attempt.is_read);
-        let StartedReply { replied: Replied { reply, load, connected }, first_chunk } = match result {
-            Ok(started) => started,
-            Err(error) => {
-                log::info!("attempt failed request={} n={attempt} server={:08x} {error}", id.0, server.0);
-                let status = dispatch::status_for_error(&error);
-                request.had_broken_read |=
-                    is_read && !matches!(status, Status::NeverSent | Status::NoConnection);
-                return self.finish_attempt(id, attempt, status, 0.0, Load::default());
-            }
-        };
+        let StartedReply { engine_reply: EngineReply { reply, load, connected_at }, first_chunk } =
+            match result {
+                Ok(started) => started,
+                Err(error) => {
+                    log::info!("attempt failed request={} n={attempt} server={:08x} {error}", id.0, server.0);
+                    let status = dispatch::status_for_error(&error);
+                    request.had_broken_read |=
+                        is_read && !matches!(status, Status::NeverSent | Status::NoConnection);
+                    return self.finish_attempt(id, attempt, status, 0.0, Load::default());
+                }
+            };
         self.releases.record_response(server, self.clock.now());
-        self.routing.push_event(Event::RunningSince { server, since: self.clock.at(connected) });
+        self.routing.push_event(Event::RunningSince { server, since: self.clock.at(connected_at) });
         let (status, status_detail) = match reply {
             Reply::Events(events) => {
                 sent_attempt.state = AttemptState::WithoutTask;
@@ -65,13 +66,13 @@
                 self.routing.push_event(Event::FirstToken { id: id.clone(), attempt });
                 return self.send_answer(id, Answer::Events(relay));
             }
-            Reply::Whole(body) => {
+            Reply::Complete(body) => {
                 request.answer_started = true;
-                self.send_answer(id.clone(), Answer::Whole(body));
+                self.send_answer(id.clone(), Answer::Complete(body));
                 (Status::Served, 0.0)
             }
-            Reply::Faulty(body) => {
-                self.send_answer(id.clone(), Answer::Faulty(body));
+            Reply::InvalidRequest(body) => {
+                self.send_answer(id.clone(), Answer::InvalidRequest(body));
                 // The engine rejected the request without running it, which says nothing about the engine's
                 // health or speed.
                 (Status::NeverSent, 0.0)
@@ -80,7 +81,7 @@
             // Only a reader may answer that a prompt is read. It is unknown what the writer did, so the
             // attempt counts as an error.
             Reply::Read { .. } => (Status::Error, 0.0),
-            Reply::Declined { no_state } => (Status::Rejected, f64::from(u8::from(no_state))),
+            Reply::Rejected { no_state } => (Status::Rejected, f64::from(u8::from(no_state))),
             Reply::Error => (Status::Error, 0.0),
         };
         if !matches!(status, Status::Read | Status::Served | Status::NeverSent) {
@@ -175,7 +176,7 @@
         let is_read = role == Some(&Role::Read);
         let violated_invariant = request.invariant_violated_by_send(is_read);
         if let Some(invariant) = violated_invariant {
-            self.invariants.violated(invariant, &id, format!("n={attempt} server={:08x}", server.0));
+            self.invariants.report_violation(invariant, &id, format!("n={attempt} server={:08x}", server.0));
         }
         let allowed =
             !request.answered && attempt < request.settings.max_attempts && violated_invariant.is_none();
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -1,7 +1,7 @@
 //! Fourth stage: makes one attempt at one engine, up to the first chunk of the answer.
 
 use super::driver::Input;
-use super::{AttemptError, Call, Engines, EventStream, Progress, Replied, Reply};
+use super::{AttemptError, Call, EngineReply, Engines, EventStream, Progress, Reply};
 use crate::interface::Status;
 use bytes::Bytes;
 use std::future::poll_fn;
@@ -12,7 +12,7 @@
 
 /// The reply to an attempt, of which nothing has been passed on to the client yet.
 pub(super) struct StartedReply<S> {
-    pub(super) replied: Replied<S>,
+    pub(super) engine_reply: EngineReply<S>,
     /// First chunk of a streamed answer; `None` for other replies.
     pub(super) first_chunk: Option<Bytes>,
 }
@@ -20,9 +20,9 @@
 /// Returns the status that the decision module receives for a failed attempt.
 pub(super) fn status_for_error(error: &AttemptError) -> Status {
     match error.progress {
-        Progress::Withdrawn => Status::NeverSent,
-        Progress::Unconnected | Progress::Unwritten => Status::NoConnection,
-        Progress::Written => Status::Reset,
+        Progress::NotSent => Status::NeverSent,
+        Progress::NotConnected | Progress::PartiallyWritten => Status::NoConnection,
+        Progress::FullyWritten => Status::Reset,
         Progress::TimedOut => Status::TimedOut,
     }
 }
@@ -32,13 +32,14 @@
     engines: &E,
     call: Call<E::Job>,
 ) -> Result<StartedReply<E::Events>, AttemptError> {
-    let mut replied = engines.call(call).await?;
+    let mut engine_reply = engines.call(call).await?;
     let mut first_chunk = None;
-    if let Reply::Events(events) = &mut replied.reply {
-        let ended_early = || AttemptError::new(Progress::Written, "the answer ended before its first event");
+    if let Reply::Events(events) = &mut engine_reply.reply {
+        let ended_early =
+            || AttemptError::new(Progress::FullyWritten, "the answer ended before its first event");
         first_chunk = Some(poll_fn(|context| events.poll_event(context)).await.ok_or_else(ended_early)??);
     }
-    Ok(StartedReply { replied, first_chunk })
+    Ok(StartedReply { engine_reply, first_chunk })
 }
 
 /// Starts an attempt in a task, which sends the result to `inbox`. The attempt first waits for the preceding
--- a/src/gateway/driver.rs
+++ b/src/gateway/driver.rs
@@ -11,11 +11,11 @@
 use super::invariants::{ANSWER_GRACE, Invariant, Invariants};
 use super::metrics::Metrics;
 use super::open_request::OpenRequest;
-use super::relay::{Departure, RelayEnd, ShutdownState};
+use super::relay::{RelayEnd, ShutdownSchedule, ShutdownState};
 use super::releases::Releases;
 use super::roster::Roster;
 use super::routing::Routing;
-use super::{Answer, AttemptError, Change, Clock, Engines, Listed, News, Tuning};
+use super::{Answer, AttemptError, Change, ChangeContent, Clock, Engines, ListedEngine, Tuning};
 use crate::choice::Router;
 use crate::interface::*;
 use std::cell::RefCell;
@@ -42,7 +42,7 @@
     /// The settings, the roster or the set of withheld engines changed.
     Changed(Change),
     /// The gateway was asked to shut down.
-    ShutdownRequested(Departure),
+    ShutdownRequested(ShutdownSchedule),
 }
 
 /// The state of the event loop: the decision module, the open requests and the resources that they share.
@@ -145,7 +145,7 @@
                 _ = report_interval.tick() =>
                     self.accounting.log_counts(self.open_requests.len(), self.releases.take_failed_count()),
                 _ = avoided_check.tick() =>
-                    self.statistics.avoided.set(self.routing.avoided_server_count(self.clock.now())),
+                    self.statistics.avoided_engines.set(self.routing.avoided_server_count(self.clock.now())),
             }
             while let Ok(input) = self.inbox.try_recv() {
                 self.handle_input(input);
@@ -162,7 +162,11 @@
                 }
             }
             for (id, server) in self.routing.take_sends_over_quota() {
-                self.invariants.violated(Invariant::SlowStartQuota, &id, format!("server={:08x}", server.0));
+                self.invariants.report_violation(
+                    Invariant::SlowStartQuota,
+                    &id,
+                    format!("server={:08x}", server.0),
+                );
             }
             for id in std::mem::take(&mut self.release_queue) {
                 self.release(id);
@@ -185,7 +189,7 @@
                 self.routing.push_event(Event::Probed { server, load });
             }
             Input::Changed(change) => self.handle_change(change),
-            Input::ShutdownRequested(departure) => self.handle_shutdown(departure),
+            Input::ShutdownRequested(schedule) => self.handle_shutdown(schedule),
         }
     }
 
@@ -244,18 +248,18 @@
 
     /// Applies a change of the settings, the roster or the set of withheld engines.
     pub(super) fn handle_change(&mut self, change: Change) {
-        match change.news {
-            News::Settings(settings) => {
+        match change.content {
+            ChangeContent::Settings(settings) => {
                 self.settings.replace(Rc::new(settings.clone()));
                 self.routing.push_event(Event::Settings(settings));
             }
-            News::Roster { form, engines } => {
-                for Listed { entry, name, .. } in &engines {
+            ChangeContent::Roster { form, engines } => {
+                for ListedEngine { entry, name, .. } in &engines {
                     let server = entry.server.0;
                     log::debug!("listed uid={name} server={server:08x} {entry:?}");
                 }
                 for endpoint in self.roster.apply(form, &engines) {
-                    self.engines.forget(&endpoint);
+                    self.engines.drop_endpoint(&endpoint);
                 }
                 let wall_now = (self.tuning.wall_clock)();
                 self.roster.record_starts(&engines, |time| self.clock.convert_unix_time(time, wall_now));
@@ -263,7 +267,7 @@
                 let entries = engines.iter().map(|listed| self.roster.effective_entry(listed)).collect();
                 self.routing.push_event(Event::Roster { form, entries });
             }
-            News::Withheld(names) => {
+            ChangeContent::Withheld(names) => {
                 let entries = self.roster.set_withheld(names);
                 self.routing.push_event(Event::Roster { form: RosterForm::Delta, entries });
             }
@@ -272,8 +276,8 @@
 
     /// Limits the deadline of every open request to the end of the shutdown, as for requests that arrive from
     /// now on. No request may be unanswered, and no state held, when the process ends.
-    pub(super) fn handle_shutdown(&mut self, departure: Departure) {
-        let remaining = departure.answers_by.saturating_duration_since(Instant::now());
+    pub(super) fn handle_shutdown(&mut self, schedule: ShutdownSchedule) {
+        let remaining = schedule.answer_deadline.saturating_duration_since(Instant::now());
         let time_left = remaining.as_micros() as Micros;
         let latest_deadline = self.clock.now() + time_left;
         for request in self.open_requests.values_mut() {
@@ -308,7 +312,7 @@
     fn refuse(&mut self, id: RequestId, retry_after: Micros, reason: GiveUpReason) {
         if self.open_requests.get(&id).is_some_and(|request| !request.answered && request.refusal_is_untrue())
         {
-            self.invariants.violated(Invariant::NoUntrueRefusal, &id, reason.name());
+            self.invariants.report_violation(Invariant::NoUntrueRefusal, &id, reason.name());
             self.record_given_up(&id, GiveUpReason::RefusalNotProvable, "failed");
             return self.send_answer(id, Answer::Failed { timed_out: false });
         }
@@ -334,11 +338,15 @@
         request.lifecycle.mark_answered();
         let late_by = now.saturating_sub(request.deadline);
         if late_by > ANSWER_GRACE.as_micros() as Micros {
-            self.invariants.violated(Invariant::AnsweredInTime, &id, format!("late_ms={}", late_by / 1000));
+            self.invariants.report_violation(
+                Invariant::AnsweredInTime,
+                &id,
+                format!("late_ms={}", late_by / 1000),
+            );
         }
         let class = request.class;
         let retain_answer = match &answer {
-            Answer::Whole(_) | Answer::Faulty(_) => true,
+            Answer::Complete(_) | Answer::InvalidRequest(_) => true,
             // A request that may have had its effect must not run again under the same idempotency key.
             Answer::Failed { .. } => !request.is_safe_to_repeat(),
             Answer::Events(_) | Answer::Refused { .. } => false,
@@ -357,7 +365,7 @@
             {
                 self.admission.borrow_mut().remove_request(&id);
                 if request.hold_deadline.get().is_some() && request.last_release.is_none() {
-                    self.invariants.violated(Invariant::NothingHeldTooLong, &id, "never released");
+                    self.invariants.report_violation(Invariant::NothingHeldTooLong, &id, "never released");
                 }
             }
         }
--- a/src/gateway/figures.rs
+++ b/src/gateway/figures.rs
@@ -4,7 +4,7 @@
 
 /// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestResult {
     /// The complete answer was served.
     Served,
     /// Refused: a retry is harmless.
@@ -28,41 +28,44 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Statistics {
     /// Numbers of requests, by class.
-    pub handled: Vec<RequestCounts>,
+    pub requests_by_class: Vec<RequestCounts>,
     /// Number of requests that were accepted and have not ended.
-    pub open: usize,
+    pub open_requests: usize,
     /// Number of engines in the roster.
-    pub listed: usize,
+    pub listed_engines: usize,
     /// Number of listed engines that currently get no requests, because an operator withholds them or the
     /// decision module avoids them.
-    pub avoided: usize,
+    pub avoided_engines: usize,
 }
 
 /// The statistics while they are collected.
 #[derive(Debug, Default)]
 pub(super) struct LiveStatistics {
-    handled: RefCell<Vec<RequestCounts>>,
+    requests_by_class: RefCell<Vec<RequestCounts>>,
     /// Number of listed engines that the decision module avoids, as of the last check.
-    pub(super) avoided: Cell<usize>,
+    pub(super) avoided_engines: Cell<usize>,
 }
 
 impl LiveStatistics {
     pub(super) fn new(class_count: usize) -> Self {
-        Self { handled: RefCell::new(vec![RequestCounts::default(); class_count]), avoided: Cell::new(0) }
+        Self {
+            requests_by_class: RefCell::new(vec![RequestCounts::default(); class_count]),
+            avoided_engines: Cell::new(0),
+        }
     }
 
     /// Counts the result of a request.
-    pub(super) fn count(&self, class: usize, fate: Fate) {
-        let mut classes = self.handled.borrow_mut();
-        let Some(handled) = classes.get_mut(class) else { return };
-        match fate {
-            Fate::Served => handled.served += 1,
-            Fate::Refused => handled.refused += 1,
-            Fate::Failed => handled.failed += 1,
+    pub(super) fn count_result(&self, class: usize, result: RequestResult) {
+        let mut counts_by_class = self.requests_by_class.borrow_mut();
+        let Some(counts) = counts_by_class.get_mut(class) else { return };
+        match result {
+            RequestResult::Served => counts.served += 1,
+            RequestResult::Refused => counts.refused += 1,
+            RequestResult::Failed => counts.failed += 1,
         }
     }
 
-    pub(super) fn handled(&self) -> Vec<RequestCounts> {
-        self.handled.borrow().clone()
+    pub(super) fn requests_by_class(&self) -> Vec<RequestCounts> {
+        self.requests_by_class.borrow().clone()
     }
 }
--- a/src/gateway/guard.rs
+++ b/src/gateway/guard.rs
@@ -72,7 +72,7 @@
 
 impl SendGuard {
     /// Returns the reason why a send must not begin now, or `None` if it may begin.
-    pub fn refusal(&self) -> Option<SendRefusal> {
+    pub fn refusal_reason(&self) -> Option<SendRefusal> {
         if self.lifecycle.client_left.get().is_some() {
             return Some(SendRefusal::ClientLeft);
         }
@@ -86,7 +86,7 @@
     }
 
     /// Checks the invariants when the first byte is written, using the times at which each fact became known.
-    pub fn check_written(&self) {
+    pub fn check_invariants_at_write(&self) {
         let now = Instant::now();
         let exceeds = |since: Option<Instant>, grace: Duration| since.is_some_and(|at| at + grace < now);
         let checks = [
@@ -97,7 +97,7 @@
         ];
         for (_, invariant) in checks.iter().filter(|(is_violated, _)| *is_violated) {
             let detail = format!("server={:08x}", self.server.0);
-            self.invariants.violated(*invariant, &self.request, detail);
+            self.invariants.report_violation(*invariant, &self.request, detail);
         }
     }
 }
@@ -106,7 +106,7 @@
 mod tests {
     use super::*;
     use crate::gateway::metrics::Metrics;
-    use crate::gateway::roster::Listed;
+    use crate::gateway::roster::ListedEngine;
     use crate::interface::{Condition, Entry, RosterForm};
     use std::sync::Arc;
 
@@ -129,7 +129,7 @@
 
     fn set_condition(roster: &Roster, condition: Condition) {
         let entry = Entry { server: ServerId(1), condition, ..Entry::default() };
-        roster.apply(RosterForm::Full, &[Listed { entry, name: "s-1".into(), endpoint: "e".into() }]);
+        roster.apply(RosterForm::Full, &[ListedEngine { entry, name: "s-1".into(), endpoint: "e".into() }]);
     }
 
     // A process that was paused between reading the clock and writing sent a repeat after the end of its
@@ -138,8 +138,8 @@
     async fn repeat_is_refused_if_a_pause_could_delay_it_past_its_window() {
         let roster = roster(Condition::Ready);
         let after = |ms| Some(Instant::now() + Duration::from_millis(ms));
-        assert_eq!(guard(&roster, after(160)).refusal(), None);
-        assert_eq!(guard(&roster, after(150)).refusal(), Some(SendRefusal::AfterWindow));
+        assert_eq!(guard(&roster, after(160)).refusal_reason(), None);
+        assert_eq!(guard(&roster, after(150)).refusal_reason(), Some(SendRefusal::AfterWindow));
     }
 
     // The check at the write must not depend on the guard that is asked before it.
@@ -147,24 +147,24 @@
     async fn write_that_violates_an_invariant_is_counted() {
         let roster = roster(Condition::Ready);
         let guard = guard(&roster, Some(Instant::now() + Duration::from_millis(500)));
-        guard.check_written();
+        guard.check_invariants_at_write();
         guard.lifecycle.mark_client_left();
         guard.lifecycle.mark_answered();
         set_condition(&roster, Condition::Draining);
-        guard.check_written();
+        guard.check_invariants_at_write();
         let counts = || Invariant::ALL.map(|invariant| guard.invariants.count(invariant));
         assert_eq!(counts().iter().sum::<u64>(), 0, "a violation was counted within the grace periods");
         tokio::time::advance(Duration::from_millis(90)).await;
-        guard.check_written();
+        guard.check_invariants_at_write();
         assert_eq!(guard.invariants.count(Invariant::NoSendAfterAnswer), 1);
         tokio::time::advance(Duration::from_millis(20)).await;
-        guard.check_written();
+        guard.check_invariants_at_write();
         assert_eq!(guard.invariants.count(Invariant::NoSendAfterClientLeft), 1);
         tokio::time::advance(Duration::from_millis(200)).await;
-        guard.check_written();
+        guard.check_invariants_at_write();
         assert_eq!(guard.invariants.count(Invariant::NoSendAfterDrain), 1);
         tokio::time::advance(Duration::from_millis(200)).await;
-        guard.check_written();
+        guard.check_invariants_at_write();
         assert_eq!(guard.invariants.count(Invariant::NoRepeatAfterWindow), 1);
     }
 }
--- a/src/gateway/handle.rs
+++ b/src/gateway/handle.rs
@@ -2,11 +2,11 @@
 
 use super::admission::{Admission, Admitted};
 use super::driver::Input;
-use super::figures::{Fate, LiveStatistics, Statistics};
+use super::figures::{LiveStatistics, RequestResult, Statistics};
 use super::intake::{AcceptedRequest, Caller, Rejected, Submission, Ticket};
 use super::invariants::Invariants;
 use super::metrics::Metrics;
-use super::relay::{Departure, ShutdownState};
+use super::relay::{ShutdownSchedule, ShutdownState};
 use super::roster::Roster;
 use super::{Change, Engines};
 use crate::interface::{Micros, Role, Settings};
@@ -56,11 +56,11 @@
     /// Submits a request. The returned ticket is used to wait for the answer.
     pub fn submit(&self, submission: Submission<E::Job>) -> Result<Ticket<E>, Rejected> {
         let Submission { mut arrival, job, size, key } = submission;
-        if let Some(departure) = self.shutdown.get() {
-            if departure.take_until.is_some_and(|until| until <= Instant::now()) {
+        if let Some(schedule) = self.shutdown.get() {
+            if schedule.accept_until.is_some_and(|until| until <= Instant::now()) {
                 return Err(Rejected::Stopped);
             }
-            let remaining = departure.answers_by.saturating_duration_since(Instant::now());
+            let remaining = schedule.answer_deadline.saturating_duration_since(Instant::now());
             arrival.expires_in = arrival.expires_in.min(remaining.as_micros() as Micros);
         }
         let id = arrival.id.clone();
@@ -82,14 +82,14 @@
 
     /// Starts the shutdown. Requests that arrive from now on are answered in time, and streamed answers are
     /// handed off.
-    pub fn leave(&self, departure: Departure) {
-        self.shutdown.set(Some(departure));
+    pub fn shut_down(&self, schedule: ShutdownSchedule) {
+        self.shutdown.set(Some(schedule));
         // The send fails only if the driver has stopped, and then no request is open.
-        let _ = self.inbox.send(Input::ShutdownRequested(departure));
+        let _ = self.inbox.send(Input::ShutdownRequested(schedule));
     }
 
     /// Passes a change of the settings, the roster or the set of withheld engines to the driver.
-    pub fn tell(&self, change: Change) -> Result<(), Rejected> {
+    pub fn apply_change(&self, change: Change) -> Result<(), Rejected> {
         self.inbox.send(Input::Changed(change)).map_err(|_| Rejected::Stopped)
     }
 
@@ -101,20 +101,25 @@
     }
 
     /// Returns true if an engine of this name is listed or was listed recently.
-    pub fn has_listed(&self, name: &str) -> bool {
-        self.roster.has_listed(name)
+    pub fn knows_engine(&self, name: &str) -> bool {
+        self.roster.knows_engine(name)
     }
 
     /// Counts a request that a front answered without submitting it.
-    pub fn count(&self, class: usize, fate: Fate) {
-        self.statistics.count(class, fate);
+    pub fn count_result(&self, class: usize, result: RequestResult) {
+        self.statistics.count_result(class, result);
     }
 
     /// Returns the current statistics.
-    pub fn figures(&self) -> Statistics {
-        let (listed, withheld) = self.roster.count_listed_and_withheld();
-        let avoided = (withheld + self.statistics.avoided.get()).min(listed);
-        Statistics { handled: self.statistics.handled(), open: self.open(), listed, avoided }
+    pub fn statistics(&self) -> Statistics {
+        let (listed_engines, withheld) = self.roster.count_listed_and_withheld();
+        let avoided_engines = (withheld + self.statistics.avoided_engines.get()).min(listed_engines);
+        Statistics {
+            requests_by_class: self.statistics.requests_by_class(),
+            open_requests: self.open_request_count(),
+            listed_engines,
+            avoided_engines,
+        }
     }
 
     /// Returns the settings that apply to requests arriving now.
@@ -133,12 +138,12 @@
     }
 
     /// Returns true while a release is in progress.
-    pub fn is_releasing(&self) -> bool {
+    pub fn has_pending_releases(&self) -> bool {
         self.pending_releases.get() > 0
     }
 
     /// Returns the number of open requests.
-    pub fn open(&self) -> usize {
-        self.admission.borrow().open()
+    pub fn open_request_count(&self) -> usize {
+        self.admission.borrow().open_request_count()
     }
 }
--- a/src/gateway/invariants.rs
+++ b/src/gateway/invariants.rs
@@ -92,8 +92,8 @@
         Self(metrics)
     }
 
-    /// Counts a violation by a request.
-    pub fn violated(&self, invariant: Invariant, request: &RequestId, detail: impl fmt::Display) {
+    /// Counts and logs a violation by a request.
+    pub fn report_violation(&self, invariant: Invariant, request: &RequestId, detail: impl fmt::Display) {
         log::error!("invariant violated name={} request={} {detail}", invariant.name(), request.0);
         self.0.violations.with_label_values(&[invariant.name()]).inc();
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -27,14 +27,14 @@
 pub use admission::{Key, Limits};
 pub use clock::Clock;
 pub use driver::start;
-pub use figures::{Fate, RequestCounts, Statistics};
+pub use figures::{RequestCounts, RequestResult, Statistics};
 pub use guard::{SendGuard, SendRefusal};
 pub use handle::Gateway;
 pub use intake::{Rejected, Submission, Ticket};
 pub use invariants::{Invariant, Invariants};
 pub use metrics::{Metrics, PREFIX};
-pub use relay::{Departure, Relay};
-pub use roster::{Change, Changes, Listed, News};
+pub use relay::{Relay, ShutdownSchedule};
+pub use roster::{Change, ChangeContent, Changes, ListedEngine};
 pub use tuning::Tuning;
 
 use crate::interface::{Load, Micros, RequestId};
@@ -52,13 +52,13 @@
 pub enum Progress {
     /// Nothing was sent to the engine: the send guard refused the attempt, because the engine drains or the
     /// client has disconnected.
-    Withdrawn,
+    NotSent,
     /// No connection could be established.
-    Unconnected,
+    NotConnected,
     /// The connection broke before the last byte of the request was written.
-    Unwritten,
+    PartiallyWritten,
     /// The whole request was written; the attempt may have run.
-    Written,
+    FullyWritten,
     /// The gateway stopped waiting; the attempt may have run or may still run.
     TimedOut,
 }
@@ -98,27 +98,27 @@
     /// The answer as a stream of events.
     Events(S),
     /// The complete answer.
-    Whole(Bytes),
+    Complete(Bytes),
     /// Rejected, with proof that the attempt never ran.
-    Declined {
+    Rejected {
         /// True if the writer found no state to fetch.
         no_state: bool,
     },
     /// The engine reports that the request is invalid; its answer is passed on to the client.
-    Faulty(Bytes),
+    InvalidRequest(Bytes),
     /// An error of the engine; the attempt may have run.
     Error,
 }
 
 /// A reply, the load report that was sent with it, and the age of its connection.
 #[derive(Debug)]
-pub struct Replied<S> {
+pub struct EngineReply<S> {
     /// The reply.
     pub reply: Reply<S>,
     /// The load that the engine reported; empty if it reported none.
     pub load: Load,
     /// Time at which the connection was established.
-    pub connected: Instant,
+    pub connected_at: Instant,
 }
 
 /// A streamed answer: its chunks in order, then its end or an error.
@@ -152,7 +152,7 @@
     fn call(
         &self,
         call: Call<Self::Job>,
-    ) -> impl Future<Output = Result<Replied<Self::Events>, AttemptError>> + 'static;
+    ) -> impl Future<Output = Result<EngineReply<Self::Events>, AttemptError>> + 'static;
 
     /// Releases all states that are held for a request. Any engine accepts this call.
     fn release(
@@ -166,7 +166,7 @@
 
     /// Drops the connections and other resources of an endpoint, whose engine has left the roster or was
     /// replaced.
-    fn forget(&self, endpoint: &str);
+    fn drop_endpoint(&self, endpoint: &str);
 }
 
 /// The final answer of a request. Each request has exactly one.
@@ -174,9 +174,9 @@
     /// Served as a stream of events.
     Events(Relay<S>),
     /// Served as a complete answer.
-    Whole(Bytes),
+    Complete(Bytes),
     /// The engine reported that the request is invalid.
-    Faulty(Bytes),
+    InvalidRequest(Bytes),
     /// Refused: a retry is harmless.
     Refused {
         /// Recommended delay before a retry, in microseconds.
@@ -193,8 +193,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Events(_) => f.write_str("events"),
-            Self::Whole(_) => f.write_str("whole"),
-            Self::Faulty(_) => f.write_str("faulty"),
+            Self::Complete(_) => f.write_str("whole"),
+            Self::InvalidRequest(_) => f.write_str("faulty"),
             Self::Refused { retry_after } => write!(f, "refused retry_after={retry_after}"),
             Self::Failed { timed_out } => write!(f, "failed timed_out={timed_out}"),
         }
@@ -205,8 +205,8 @@
     /// Copies the answer for another caller.
     fn copy_for_repeat(&self) -> Self {
         match self {
-            Self::Whole(body) => Self::Whole(body.clone()),
-            Self::Faulty(body) => Self::Faulty(body.clone()),
+            Self::Complete(body) => Self::Complete(body.clone()),
+            Self::InvalidRequest(body) => Self::InvalidRequest(body.clone()),
             Self::Refused { retry_after } => Self::Refused { retry_after: *retry_after },
             Self::Failed { timed_out } => Self::Failed { timed_out: *timed_out },
             // A streamed answer has only one receiver.
@@ -218,7 +218,7 @@
     fn retained_size(&self) -> usize {
         let overhead = 256;
         match self {
-            Self::Whole(body) | Self::Faulty(body) => overhead + body.len(),
+            Self::Complete(body) | Self::InvalidRequest(body) => overhead + body.len(),
             _ => overhead,
         }
     }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -26,17 +26,17 @@
 
 /// The shutdown schedule of the core.
 #[derive(Clone, Copy, Debug)]
-pub struct Departure {
+pub struct ShutdownSchedule {
     /// Time from which no further request is accepted, since its answer could still be streaming when the
     /// process is killed. `None` if requests are accepted until the end.
-    pub take_until: Option<Instant>,
+    pub accept_until: Option<Instant>,
     /// Time by which every request has its final answer.
-    pub answers_by: Instant,
+    pub answer_deadline: Instant,
     /// Start time and duration of the period in which streamed answers are handed off, where clients resume
     /// them at another gateway. The oldest answers are ended first: most answers are short, so those that
     /// began last are the likeliest to end by themselves. If `None`, only answers whose engine hangs are
-    /// ended, at `answers_by`.
-    pub hand_over: Option<(Instant, Duration)>,
+    /// ended, at `answer_deadline`.
+    pub hand_off: Option<(Instant, Duration)>,
 }
 
 /// Age from which an answer is handed off at the start of the period. A younger answer gets a share of the
@@ -53,12 +53,13 @@
 /// finished.
 const MAX_REMAINDER_BYTES: usize = 64 << 10;
 
-impl Departure {
+impl ShutdownSchedule {
     /// Returns the time at which an answer is to be ended, given when it began and when its last event
     /// arrived. `None` if the gateway waits for the answer to end by itself.
     fn due(&self, started_at: Instant, last_event_at: Instant) -> Option<Instant> {
-        let Some((start, duration)) = self.hand_over else {
-            return (last_event_at + ENGINE_STALL_TIMEOUT <= self.answers_by).then_some(self.answers_by);
+        let Some((start, duration)) = self.hand_off else {
+            return (last_event_at + ENGINE_STALL_TIMEOUT <= self.answer_deadline)
+                .then_some(self.answer_deadline);
         };
         let age = start.saturating_duration_since(started_at);
         Some(start + duration.mul_f64(1.0 - (age.as_secs_f64() / OLD_ANSWER_AGE.as_secs_f64()).min(1.0)))
@@ -66,7 +67,7 @@
 }
 
 /// The shutdown schedule, shared by all parts of the core; `None` until a shutdown is requested.
-pub(super) type ShutdownState = Rc<Cell<Option<Departure>>>;
+pub(super) type ShutdownState = Rc<Cell<Option<ShutdownSchedule>>>;
 
 type EndCallback = Box<dyn FnOnce(RelayEnd)>;
 
@@ -113,13 +114,16 @@
 
     fn hand_off(&mut self) -> Poll<Option<Result<Bytes, AttemptError>>> {
         self.finish(RelayEnd::HandedOff);
-        Poll::Ready(Some(Err(AttemptError::new(Progress::Written, "ended by the shutdown of the gateway"))))
+        Poll::Ready(Some(Err(AttemptError::new(
+            Progress::FullyWritten,
+            "ended by the shutdown of the gateway",
+        ))))
     }
 
     /// Returns true if the client resumes the answer at another gateway. Only such an answer is cut while
     /// events arrive.
     fn can_hand_off(&self) -> bool {
-        self.shutdown.get().is_some_and(|departure| departure.hand_over.is_some())
+        self.shutdown.get().is_some_and(|schedule| schedule.hand_off.is_some())
     }
 
     /// Ends an answer that is due to be handed off. If the engine has already finished and only the client
@@ -146,7 +150,7 @@
     }
 
     /// Polls for the next chunk; `None` once the answer is complete, an error if it cannot be completed.
-    pub fn poll_piece(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, AttemptError>>> {
+    pub fn poll_chunk(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, AttemptError>>> {
         if let Some(first_chunk) = self.first_chunk.take() {
             return Poll::Ready(Some(Ok(first_chunk)));
         }
@@ -154,7 +158,7 @@
             let Some(events) = &mut self.events else { return Poll::Ready(None) };
             let now = Instant::now();
             let due =
-                self.shutdown.get().and_then(|departure| departure.due(self.started_at, self.last_event_at));
+                self.shutdown.get().and_then(|schedule| schedule.due(self.started_at, self.last_event_at));
             match events.poll_event(context) {
                 Poll::Pending if due.is_some_and(|due| due <= now) => return self.hand_off(),
                 Poll::Ready(Some(Ok(chunk))) if due.is_some_and(|due| due <= now) && self.can_hand_off() => {
--- a/src/gateway/releases.rs
+++ b/src/gateway/releases.rs
@@ -128,7 +128,7 @@
         let result = if released { "done" } else { "failed" };
         self.metrics.releases.with_label_values(&[result]).inc();
         if release.hold_deadline.take().is_some_and(|deadline| deadline < Instant::now() || !released) {
-            self.invariants.violated(Invariant::NothingHeldTooLong, &release.id, result);
+            self.invariants.report_violation(Invariant::NothingHeldTooLong, &release.id, result);
         }
         if !released {
             self.failed.set(self.failed.get() + 1);
--- a/src/gateway/roster.rs
+++ b/src/gateway/roster.rs
@@ -10,7 +10,7 @@
 
 /// An engine as listed in the roster.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedEngine {
     /// The entry that is passed to the decision module.
     pub entry: Entry,
     /// Name of the engine in the roster, which operators use to identify it.
@@ -21,7 +21,7 @@
 
 /// The content of a change.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum ChangeContent {
     /// New settings, which replace the current ones.
     Settings(Settings),
     /// An update of the roster.
@@ -29,7 +29,7 @@
         /// Specifies if `engines` is the full list or only the changed entries.
         form: RosterForm,
         /// The entries.
-        engines: Vec<Listed>,
+        engines: Vec<ListedEngine>,
     },
     /// Names of all engines that operators withhold, which replace the current ones.
     Withheld(BTreeSet<Arc<str>>),
@@ -41,7 +41,7 @@
     /// Version number, at the source, of the state after this change.
     pub revision: u64,
     /// The content of the change.
-    pub news: News,
+    pub content: ChangeContent,
 }
 
 /// A source of changes, for example discovery or a file.
@@ -59,7 +59,7 @@
 /// The current roster.
 #[derive(Debug, Default)]
 pub(super) struct Roster {
-    engines: RefCell<BTreeMap<ServerId, Listed>>,
+    engines: RefCell<BTreeMap<ServerId, ListedEngine>>,
     /// Names of engines that operators withhold, independent of their condition in the roster.
     withheld: RefCell<BTreeSet<Arc<str>>>,
     /// Names of removed engines, the oldest first.
@@ -84,7 +84,7 @@
 impl Roster {
     /// Applies an update. Returns the endpoints that are no longer used. A removed engine is deleted, since
     /// another engine may use its endpoint from then on.
-    pub(super) fn apply(&self, form: RosterForm, updates: &[Listed]) -> Vec<Arc<str>> {
+    pub(super) fn apply(&self, form: RosterForm, updates: &[ListedEngine]) -> Vec<Arc<str>> {
         let mut engines = self.engines.borrow_mut();
         let mut unused_endpoints = Vec::new();
         if form == RosterForm::Full {
@@ -139,7 +139,7 @@
     }
 
     /// Returns the condition under which an engine is used: a withheld engine counts as draining.
-    fn effective_condition(&self, listed: &Listed) -> Condition {
+    fn effective_condition(&self, listed: &ListedEngine) -> Condition {
         match listed.entry.condition {
             Condition::Ready if self.withheld.borrow().contains(&listed.name) => Condition::Draining,
             condition => condition,
@@ -148,7 +148,7 @@
 
     /// Records the start times of listed servers. `to_gateway_clock` converts a reported Unix time to the
     /// gateway's clock.
-    pub(super) fn record_starts(&self, listed: &[Listed], to_gateway_clock: impl Fn(Micros) -> Micros) {
+    pub(super) fn record_starts(&self, listed: &[ListedEngine], to_gateway_clock: impl Fn(Micros) -> Micros) {
         let mut starts = self.starts.borrow_mut();
         for Entry { server, started_at: reported, .. } in listed.iter().map(|listed| &listed.entry) {
             let is_recorded = starts.get(server).is_some_and(|start| start.reported == *reported);
@@ -166,7 +166,7 @@
     }
 
     /// Returns the entry that is passed to the decision module, with the effective condition and start time.
-    pub(super) fn effective_entry(&self, listed: &Listed) -> Entry {
+    pub(super) fn effective_entry(&self, listed: &ListedEngine) -> Entry {
         let started_at = self.starts.borrow().get(&listed.entry.server).map_or(0, |start| start.gateway_time);
         Entry { condition: self.effective_condition(listed), started_at, ..listed.entry.clone() }
     }
@@ -184,7 +184,7 @@
     }
 
     /// Returns true if an engine of this name is listed or was listed recently.
-    pub(super) fn has_listed(&self, name: &str) -> bool {
+    pub(super) fn knows_engine(&self, name: &str) -> bool {
         let is_listed = self.engines.borrow().values().any(|listed| &*listed.name == name);
         is_listed
             || self.withheld.borrow().contains(name)
@@ -198,12 +198,12 @@
     }
 
     /// Returns an engine if it is listed.
-    pub(super) fn listed_engine(&self, server: ServerId) -> Option<Listed> {
+    pub(super) fn listed_engine(&self, server: ServerId) -> Option<ListedEngine> {
         self.engines.borrow().get(&server).cloned()
     }
 
     /// Returns all listed engines.
-    pub(super) fn listed_engines(&self) -> Vec<Listed> {
+    pub(super) fn listed_engines(&self) -> Vec<ListedEngine> {
         self.engines.borrow().values().cloned().collect()
     }
 
@@ -231,7 +231,7 @@
     fn endpoint_of_removed_engine_is_reported_unused_once() {
         let listed = |number, condition| {
             let entry = Entry { server: ServerId(number), condition, ..Entry::default() };
-            [Listed { entry, name: format!("s-{number}").into(), endpoint: Arc::from("e") }]
+            [ListedEngine { entry, name: format!("s-{number}").into(), endpoint: Arc::from("e") }]
         };
         let roster = Roster::default();
         assert!(roster.apply(RosterForm::Full, &listed(1, Condition::Ready)).is_empty());
@@ -246,7 +246,7 @@
     fn withheld_engine_is_not_used_under_any_reported_condition() {
         let listed = |condition| {
             let entry = Entry { server: ServerId(1), condition, ..Entry::default() };
-            [Listed { entry, name: "s-1".into(), endpoint: "e".into() }]
+            [ListedEngine { entry, name: "s-1".into(), endpoint: "e".into() }]
         };
         let roster = Roster::default();
         roster.apply(RosterForm::Full, &listed(Condition::Ready));
@@ -255,7 +255,7 @@
         for condition in [Condition::Draining, Condition::Gone, Condition::Ready] {
             roster.apply(RosterForm::Delta, &listed(condition));
             assert!(!roster.is_ready(ServerId(1)), "{condition:?}");
-            assert!(roster.has_listed("s-1") && !roster.has_listed("s-2"));
+            assert!(roster.knows_engine("s-1") && !roster.knows_engine("s-2"));
         }
         assert_eq!(roster.count_listed_and_withheld(), (1, 1));
         let changed = roster.set_withheld(BTreeSet::new());
--- a/src/gateway/tuning.rs
+++ b/src/gateway/tuning.rs
@@ -34,10 +34,10 @@
     fn default() -> Self {
         Self {
             limits: Limits {
-                requests: 800,
-                bytes: 32 << 20,
-                keep: Duration::from_secs(60),
-                keep_bytes: 8 << 20,
+                max_requests: 800,
+                max_body_bytes: 32 << 20,
+                answer_retention: Duration::from_secs(60),
+                max_retained_bytes: 8 << 20,
             },
             max_engine_silence: Duration::from_secs(4),
             release_timeout: Duration::from_millis(100),
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -44,7 +44,7 @@
 
 impl From<ClientDisconnected> for AttemptError {
     fn from(cause: ClientDisconnected) -> Self {
-        Self::new(Progress::Written, cause)
+        Self::new(Progress::FullyWritten, cause)
     }
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -69,7 +69,7 @@
             Some(rev) => format!("/v1/endpoints?index={rev}&wait={}", wait.as_millis()),
         };
         let request = Request::get(path).header(HOST, &*self.address).body(Full::new(Bytes::new()));
-        let request = request.map_err(|e| AttemptError::new(Progress::Unconnected, e))?;
+        let request = request.map_err(|e| AttemptError::new(Progress::NotConnected, e))?;
         let open_channel = self.channel.take();
         let call = async {
             let mut channel = match open_channel {
@@ -79,12 +79,13 @@
             let answer = channel.send(request, 0, WriteWatch::default()).await?;
             let status = answer.status();
             let body = Limited::new(answer.into_body(), MAX_LIST_BYTES).collect().await;
-            let body = body.map_err(|e| AttemptError::new(Progress::Written, e))?.to_bytes();
+            let body = body.map_err(|e| AttemptError::new(Progress::FullyWritten, e))?.to_bytes();
             if !status.is_success() {
-                return Err(AttemptError::new(Progress::Written, format!("status {status}")));
+                return Err(AttemptError::new(Progress::FullyWritten, format!("status {status}")));
             }
             channel.mark_response_read();
-            let list = serde_json::from_slice(&body).map_err(|e| AttemptError::new(Progress::Written, e))?;
+            let list =
+                serde_json::from_slice(&body).map_err(|e| AttemptError::new(Progress::FullyWritten, e))?;
             Ok((list, channel))
         };
         let timed_out = |_| Err(AttemptError::new(Progress::TimedOut, "no response in time"));
--- a/src/net/engines.rs
+++ b/src/net/engines.rs
@@ -4,7 +4,7 @@
 use super::pool::{Channel, Pool};
 use super::transport::WriteWatch;
 use crate::config::LoadNames;
-use crate::gateway::{AttemptError, Call, Engines, EventStream, Progress, Replied, Reply};
+use crate::gateway::{AttemptError, Call, EngineReply, Engines, EventStream, Progress, Reply};
 use crate::interface::{Load, RequestId};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -80,13 +80,13 @@
     body: Bytes,
 ) -> Result<Request<Full<Bytes>>, AttemptError> {
     let request = Request::builder().method(method).uri(path).header(HOST, endpoint);
-    request.body(Full::new(body)).map_err(|e| AttemptError::new(Progress::Unconnected, e))
+    request.body(Full::new(body)).map_err(|e| AttemptError::new(Progress::NotConnected, e))
 }
 
 fn call_request<J: AsRef<Job>>(call: &Call<J>) -> Result<Request<Full<Bytes>>, AttemptError> {
     let job = (*call.job).as_ref();
     let mut request = request(Method::POST, &call.endpoint, &job.path, job.body.clone())?;
-    let invalid_header = |e: hyper::header::InvalidHeaderValue| AttemptError::new(Progress::Unconnected, e);
+    let invalid_header = |e: hyper::header::InvalidHeaderValue| AttemptError::new(Progress::NotConnected, e);
     let headers = request.headers_mut();
     headers.insert("req-id", call.id.0.parse().map_err(invalid_header)?);
     let remaining = call.deadline.saturating_duration_since(Instant::now());
@@ -110,7 +110,7 @@
     let read = Limited::new(body, max_bytes).collect().await;
     let read_error = |e: Box<dyn std::error::Error + Send + Sync>| match e.downcast::<hyper::Error>() {
         Ok(error) => channel.connection_error(*error),
-        Err(error) => AttemptError::new(Progress::Written, error),
+        Err(error) => AttemptError::new(Progress::FullyWritten, error),
     };
     Ok(read.map_err(read_error)?.to_bytes())
 }
@@ -126,8 +126,8 @@
 /// Interprets a complete response.
 fn interpret(manner: Manner, status: StatusCode, declined: bool, body: Bytes) -> Reply<HttpEvents> {
     match (manner, status) {
-        (_, StatusCode::GONE) if declined => Reply::Declined { no_state: true },
-        _ if declined => Reply::Declined { no_state: false },
+        (_, StatusCode::GONE) if declined => Reply::Rejected { no_state: true },
+        _ if declined => Reply::Rejected { no_state: false },
         (Manner::Staged, StatusCode::ACCEPTED) => {
             let json: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
             let cached_tokens = json.get("cached_tokens").and_then(serde_json::Value::as_f64);
@@ -139,9 +139,9 @@
             let json: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
             let complete =
                 json.get(list).and_then(|list| list.as_array()).is_some_and(|l| l.len() == entries);
-            if complete { Reply::Whole(body) } else { Reply::Error }
+            if complete { Reply::Complete(body) } else { Reply::Error }
         }
-        (Manner::Single { .. }, status) if is_request_error(status) => Reply::Faulty(body),
+        (Manner::Single { .. }, status) if is_request_error(status) => Reply::InvalidRequest(body),
         _ => Reply::Error,
     }
 }
@@ -161,14 +161,14 @@
     fn call(
         &self,
         call: Call<Job>,
-    ) -> impl Future<Output = Result<Replied<HttpEvents>, AttemptError>> + 'static {
+    ) -> impl Future<Output = Result<EngineReply<HttpEvents>, AttemptError>> + 'static {
         let (pool, names, max_bytes) = (self.pool.clone(), self.load.clone(), self.answer_bytes);
         let tries = self.tries.clone();
         async move {
             let mut channel = pool.acquire(&call.endpoint).await?;
-            if let Some(cause) = call.guard.refusal() {
+            if let Some(cause) = call.guard.refusal_reason() {
                 pool.put_back(call.endpoint, channel);
-                return Err(AttemptError::new(Progress::Withdrawn, cause));
+                return Err(AttemptError::new(Progress::NotSent, cause));
             }
             let request = call_request(&call)?;
             let watch = WriteWatch { guard: Some(call.guard), written_counter: Some(tries) };
@@ -176,18 +176,18 @@
             let (head, body) = response.into_parts();
             let load = head.headers.get("srv-load").map_or(Load::default(), |l| names.read(l.as_bytes()));
             if call.job.manner == Manner::Staged && head.status == StatusCode::OK {
-                let connected = channel.opened;
+                let connected_at = channel.opened;
                 let (events, connection) = (Events::new(max_bytes), Some((pool, call.endpoint, channel)));
                 let events = HttpEvents { body: Some(body), events, connection };
-                return Ok(Replied { reply: Reply::Events(events), load, connected });
+                return Ok(EngineReply { reply: Reply::Events(events), load, connected_at });
             }
             let max_bytes = if call.job.manner == Manner::Staged { MAX_STATUS_BODY_BYTES } else { max_bytes };
             let body = read_body(&channel, body, max_bytes).await?;
-            let connected = channel.opened;
+            let connected_at = channel.opened;
             pool.put_back(call.endpoint, channel);
             let declined = is_declined(head.status, &head.headers);
             let reply = interpret(call.job.manner, head.status, declined, body);
-            Ok(Replied { reply, load, connected })
+            Ok(EngineReply { reply, load, connected_at })
         }
     }
 
@@ -207,7 +207,7 @@
             let status = response.status();
             read_body(&channel, response.into_body(), MAX_STATUS_BODY_BYTES).await?;
             pool.put_back(endpoint, channel);
-            let rejected = || AttemptError::new(Progress::Written, format!("status {status}"));
+            let rejected = || AttemptError::new(Progress::FullyWritten, format!("status {status}"));
             status.is_success().then_some(()).ok_or_else(rejected)
         }
     }
@@ -221,12 +221,12 @@
             let status = response.status();
             let body = read_body(&channel, response.into_body(), MAX_STATUS_BODY_BYTES).await?;
             pool.put_back(endpoint, channel);
-            let failed = || AttemptError::new(Progress::Written, format!("status {status}"));
+            let failed = || AttemptError::new(Progress::FullyWritten, format!("status {status}"));
             status.is_success().then(|| names.read(&body)).ok_or_else(failed)
         }
     }
 
-    fn forget(&self, endpoint: &str) {
+    fn drop_endpoint(&self, endpoint: &str) {
         self.pool.close_idle_to(endpoint);
     }
 }
@@ -244,7 +244,7 @@
     /// Closes the connection, which cannot be reused, and returns the error.
     fn close_with_error(&mut self, cause: impl std::fmt::Display) -> AttemptError {
         (self.body, self.connection) = (None, None);
-        AttemptError::new(Progress::Written, cause)
+        AttemptError::new(Progress::FullyWritten, cause)
     }
 }
 
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -97,7 +97,8 @@
 
     /// Returns the error of the request in progress when this connection breaks.
     pub(super) fn connection_error(&self, cause: hyper::Error) -> AttemptError {
-        let progress = if self.meter.is_complete() { Progress::Written } else { Progress::Unwritten };
+        let progress =
+            if self.meter.is_complete() { Progress::FullyWritten } else { Progress::PartiallyWritten };
         AttemptError::new(progress, cause)
     }
 }
@@ -145,7 +146,7 @@
             self.close_one_idle();
         }
         if self.open.get() >= max_connections {
-            return Err(AttemptError::new(Progress::Unconnected, "all connections are in use"));
+            return Err(AttemptError::new(Progress::NotConnected, "all connections are in use"));
         }
         self.connect(endpoint).await
     }
@@ -166,7 +167,7 @@
     async fn connect(&self, endpoint: &str) -> Result<Channel, AttemptError> {
         self.open.set(self.open.get() + 1);
         let open_count = OpenCount(self.open.clone());
-        let not_connected = |cause: String| AttemptError::new(Progress::Unconnected, cause);
+        let not_connected = |cause: String| AttemptError::new(Progress::NotConnected, cause);
         let dialled = tokio::time::timeout(self.limits.dial_timeout, TcpStream::connect(endpoint)).await;
         let stream = dialled.map_err(|_| not_connected("connect timed out".into()))?;
         let stream = stream.map_err(|e| not_connected(e.to_string()))?;
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -95,7 +95,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, AttemptError>>> {
         match self.get_mut() {
             Self::Whole(body) => Poll::Ready(body.take().map(|body| Ok(Frame::data(body)))),
-            Self::Relay(relay) => relay.poll_piece(context).map(|piece| piece.map(|r| r.map(Frame::data))),
+            Self::Relay(relay) => relay.poll_chunk(context).map(|chunk| chunk.map(|r| r.map(Frame::data))),
         }
     }
 
--- a/src/net/transport.rs
+++ b/src/net/transport.rs
@@ -47,7 +47,7 @@
     fn count(&self, bytes: &[u8]) {
         let mut watch = self.watch.borrow_mut();
         if let Some(guard) = watch.guard.take() {
-            guard.check_written();
+            guard.check_invariants_at_write();
         }
         if self.head_len.get().is_none() {
             for (index, byte) in bytes.iter().enumerate() {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -66,21 +66,21 @@
     fn call(
         &self,
         call: Call<&'static str>,
-    ) -> impl Future<Output = Result<Replied<ScriptedEvents>, AttemptError>> + 'static {
+    ) -> impl Future<Output = Result<EngineReply<ScriptedEvents>, AttemptError>> + 'static {
         let fake = self.clone();
         async move {
             fake.called_endpoints.borrow_mut().push(call.endpoint.to_string());
             if !fake.connects_at_once.get() {
                 fake.connections_allowed.notified().await;
             }
-            if call.guard.refusal().is_some() {
-                return Err(AttemptError::new(Progress::Withdrawn, "the engine drains"));
+            if call.guard.refusal_reason().is_some() {
+                return Err(AttemptError::new(Progress::NotSent, "the engine drains"));
             }
             let is_reader = call.endpoint.starts_with('r');
             if !is_reader && fake.writer_dial_timeouts.get() > 0 {
                 fake.writer_dial_timeouts.set(fake.writer_dial_timeouts.get() - 1);
                 tokio::time::sleep(Duration::from_millis(250)).await;
-                return Err(AttemptError::new(Progress::Unconnected, "no connection in time"));
+                return Err(AttemptError::new(Progress::NotConnected, "no connection in time"));
             }
             fake.operations.borrow_mut().push(if is_reader { "read" } else { "write" });
             fake.written_endpoints.borrow_mut().push(call.endpoint.to_string());
@@ -90,12 +90,12 @@
             if !is_reader && fake.writer_resets.get() > 0 {
                 fake.writer_resets.set(fake.writer_resets.get() - 1);
                 fake.connects_at_once.set(false);
-                return Err(AttemptError::new(Progress::Written, "reset"));
+                return Err(AttemptError::new(Progress::FullyWritten, "reset"));
             }
             let remaining = VecDeque::from([Bytes::from_static(b"a"), Bytes::from_static(b"b")]);
             let events = || ScriptedEvents { remaining, endless: fake.endless, hangs: fake.hangs };
             let reply = if is_reader { Reply::Read { cached_tokens: 0.0 } } else { Reply::Events(events()) };
-            Ok(Replied { reply, load: Load::default(), connected: tokio::time::Instant::now() })
+            Ok(EngineReply { reply, load: Load::default(), connected_at: tokio::time::Instant::now() })
         }
     }
 
@@ -128,16 +128,16 @@
         }
     }
 
-    fn forget(&self, _: &str) {}
+    fn drop_endpoint(&self, _: &str) {}
 }
 
-fn listed_engine(number: u32, kind: usize, endpoint: &str, condition: Condition) -> Listed {
+fn listed_engine(number: u32, kind: usize, endpoint: &str, condition: Condition) -> ListedEngine {
     let entry = Entry { server: ServerId(number), kind, condition, ..Entry::default() };
-    Listed { entry, name: number.to_string().into(), endpoint: Arc::from(endpoint) }
+    ListedEngine { entry, name: number.to_string().into(), endpoint: Arc::from(endpoint) }
 }
 
-fn roster_change(form: RosterForm, engines: Vec<Listed>) -> Change {
-    Change { revision: 1, news: News::Roster { form, engines } }
+fn roster_change(form: RosterForm, engines: Vec<ListedEngine>) -> Change {
+    Change { revision: 1, content: ChangeContent::Roster { form, engines } }
 }
 
 fn start_gateway(fake: &FakeEngines) -> Gateway<FakeEngines> {
@@ -160,7 +160,7 @@
         listed_engine(2, 0, "r2", ready),
         listed_engine(11, 1, "w1", ready),
     ];
-    gateway.tell(roster_change(RosterForm::Full, engines)).expect("the driver is running");
+    gateway.apply_change(roster_change(RosterForm::Full, engines)).expect("the driver is running");
     gateway
 }
 
@@ -181,7 +181,7 @@
     let (gateway, _) = start("test", settings, 1, fake.clone(), Tuning::default()).expect("valid settings");
     let ready = Condition::Ready;
     let engines = vec![listed_engine(1, 0, "r1", ready), listed_engine(11, 1, "w1", ready)];
-    gateway.tell(roster_change(RosterForm::Full, engines)).expect("the driver is running");
+    gateway.apply_change(roster_change(RosterForm::Full, engines)).expect("the driver is running");
     let answer = gateway.submit(submission("a")).expect("the request is accepted").answer().await;
     // After this time the gateway assumes that the other replica uses as much of the writer's memory.
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -223,7 +223,7 @@
 async fn collect_events(answer: Answer<ScriptedEvents>) -> Vec<Bytes> {
     let Answer::Events(mut relay) = answer else { panic!("the request was not served") };
     let mut events = Vec::new();
-    while let Some(event) = std::future::poll_fn(|context| relay.poll_piece(context)).await {
+    while let Some(event) = std::future::poll_fn(|context| relay.poll_chunk(context)).await {
         events.push(event.expect("the response is complete"));
     }
     events
@@ -247,7 +247,9 @@
         let (number, draining_endpoint, other_endpoint) =
             if fake.called_endpoints.borrow()[0] == "r1" { (1, "r1", "r2") } else { (2, "r2", "r1") };
         let drained_engine = vec![listed_engine(number, 0, draining_endpoint, Condition::Draining)];
-        gateway.tell(roster_change(RosterForm::Delta, drained_engine)).expect("the driver is running");
+        gateway
+            .apply_change(roster_change(RosterForm::Delta, drained_engine))
+            .expect("the driver is running");
         tokio::time::sleep(Duration::from_millis(30)).await;
         fake.connects_at_once.set(true);
         fake.connections_allowed.notify_waiters();
@@ -273,10 +275,10 @@
             tokio::task::yield_now().await;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
-        assert_eq!(gateway.open(), 1, "the response has begun and is open");
+        assert_eq!(gateway.open_request_count(), 1, "the response has begun and is open");
         drop(ticket);
         tokio::time::sleep(Duration::from_millis(5)).await;
-        assert_eq!((gateway.open(), fake.written_endpoints.borrow().len()), (0, 2));
+        assert_eq!((gateway.open_request_count(), fake.written_endpoints.borrow().len()), (0, 2));
     })
     .await;
 }
@@ -291,7 +293,7 @@
         let gateway = start_gateway(&fake);
         let new_writers =
             vec![listed_engine(12, 1, "w2", Condition::Ready), listed_engine(13, 1, "w3", Condition::Ready)];
-        gateway.tell(roster_change(RosterForm::Delta, new_writers)).expect("the driver is running");
+        gateway.apply_change(roster_change(RosterForm::Delta, new_writers)).expect("the driver is running");
         let ticket = gateway.submit(submission("a")).expect("the request is accepted");
         tokio::time::sleep(Duration::from_millis(50)).await;
         let repeat_endpoint = fake.called_endpoints.borrow().last().expect("an attempt was sent").clone();
@@ -299,7 +301,7 @@
         let number =
             10 + repeat_endpoint[1..].parse::<u32>().expect("a writer's endpoint contains its number");
         gateway
-            .tell(roster_change(
+            .apply_change(roster_change(
                 RosterForm::Delta,
                 vec![listed_engine(number, 1, &repeat_endpoint, Condition::Draining)],
             ))
@@ -332,7 +334,7 @@
             start("test", settings, 1, fake.clone(), Tuning::default()).expect("valid settings");
         let engines =
             vec![listed_engine(1, 0, "r1", Condition::Ready), listed_engine(11, 1, "w1", Condition::Ready)];
-        gateway.tell(roster_change(RosterForm::Full, engines)).expect("the driver is running");
+        gateway.apply_change(roster_change(RosterForm::Full, engines)).expect("the driver is running");
         let ticket = gateway.submit(submission("a")).expect("the request is accepted");
         tokio::time::sleep(Duration::from_millis(600)).await;
         assert_eq!(
@@ -365,7 +367,7 @@
         fake.connects_at_once.set(true);
         fake.connections_allowed.notify_waiters();
         tokio::time::sleep(Duration::from_millis(30)).await;
-        assert!(fake.written_endpoints.borrow().is_empty() && gateway.open() == 0);
+        assert!(fake.written_endpoints.borrow().is_empty() && gateway.open_request_count() == 0);
     })
     .await;
 }
@@ -408,7 +410,7 @@
             zoned_engine(11, 0, 0, "r11b"),
             zoned_engine(12, 1, 0, "w12b"),
         ]);
-        gateway.tell(roster_change(RosterForm::Full, engines)).expect("the driver is running");
+        gateway.apply_change(roster_change(RosterForm::Full, engines)).expect("the driver is running");
         let mut impatient = submission("a");
         impatient.arrival.expires_in = 600_000;
         let answer = gateway.submit(impatient).expect("the request is accepted").answer().await;
@@ -494,7 +496,7 @@
         let fake = FakeEngines::default();
         let gateway = start_gateway(&fake);
         let limits = Tuning::default().limits;
-        let huge = Submission { size: limits.bytes - 3, ..submission("a") };
+        let huge = Submission { size: limits.max_body_bytes - 3, ..submission("a") };
         let first = gateway.submit(huge).expect("the request is accepted");
         let second = gateway.submit(submission("b")).expect("the request is accepted");
         assert_eq!(gateway.submit(submission("b")).err(), Some(Rejected::Duplicate));
@@ -504,7 +506,7 @@
         collect_events(first.answer().await).await;
         collect_events(second.answer().await).await;
         tokio::time::sleep(Duration::from_millis(30)).await;
-        assert_eq!(gateway.open(), 0);
+        assert_eq!(gateway.open_request_count(), 0);
         assert!(gateway.submit(submission("c")).is_ok());
     })
     .await;
@@ -535,17 +537,17 @@
         tokio::time::sleep(Duration::from_secs(12)).await;
         let mut newer_answer = start_answer("b").await;
         let shutdown_at = tokio::time::Instant::now();
-        let (hand_over_from, hand_over_duration) =
+        let (hand_off_from, hand_off_duration) =
             (shutdown_at + Duration::from_secs(1), Duration::from_secs(1));
-        let answers_by = shutdown_at + Duration::from_secs(3);
-        gateway.leave(Departure {
-            take_until: None,
-            answers_by,
-            hand_over: Some((hand_over_from, hand_over_duration)),
+        let answer_deadline = shutdown_at + Duration::from_secs(3);
+        gateway.shut_down(ShutdownSchedule {
+            accept_until: None,
+            answer_deadline,
+            hand_off: Some((hand_off_from, hand_off_duration)),
         });
         let ended_after_ms = async |relay: &mut Relay<ScriptedEvents>| loop {
             tokio::time::sleep(Duration::from_millis(50)).await;
-            if let Some(Err(_)) = std::future::poll_fn(|context| relay.poll_piece(context)).await {
+            if let Some(Err(_)) = std::future::poll_fn(|context| relay.poll_chunk(context)).await {
                 return shutdown_at.elapsed().as_millis();
             }
         };
@@ -553,7 +555,9 @@
         assert!((1900..2500).contains(&ended_after_ms(&mut newer_answer).await));
         fake.connects_at_once.set(false);
         let late_answer = gateway.submit(submission("c")).expect("the request is accepted").answer().await;
-        assert!(matches!(late_answer, Answer::Refused { .. }) && tokio::time::Instant::now() < answers_by);
+        assert!(
+            matches!(late_answer, Answer::Refused { .. }) && tokio::time::Instant::now() < answer_deadline
+        );
     })
     .await;
 }
@@ -565,7 +569,7 @@
 #[case::without_hand_off(None, 3_000)]
 #[tokio::test(start_paused = true)]
 async fn answer_of_a_hung_engine_ends_before_the_shutdown(
-    #[case] hand_over_ms: Option<u64>,
+    #[case] hand_off_ms: Option<u64>,
     #[case] due_ms: u64,
 ) {
     run_local(async {
@@ -574,19 +578,24 @@
         let gateway = start_gateway(&fake);
         let started_at = tokio::time::Instant::now();
         let after = |ms| started_at + Duration::from_millis(ms);
-        let hand_over = hand_over_ms.map(|from| (after(from), Duration::ZERO));
+        let hand_off = hand_off_ms.map(|from| (after(from), Duration::ZERO));
         let Answer::Events(mut relay) =
             gateway.submit(submission("a")).expect("the request is accepted").answer().await
         else {
             panic!("the request was not served")
         };
-        let mut next = async || std::future::poll_fn(|context| relay.poll_piece(context)).await;
+        let mut next = async || std::future::poll_fn(|context| relay.poll_chunk(context)).await;
         assert!(matches!((next().await, next().await), (Some(Ok(_)), Some(Ok(_)))));
-        let leave = async {
+        let delayed_shutdown = async {
             tokio::time::sleep(Duration::from_millis(300)).await;
-            gateway.leave(Departure { take_until: None, answers_by: after(3_000), hand_over });
+            gateway.shut_down(ShutdownSchedule {
+                accept_until: None,
+                answer_deadline: after(3_000),
+                hand_off,
+            });
         };
-        let (ended, ()) = tokio::join!(tokio::time::timeout(Duration::from_secs(3), next()), leave);
+        let (ended, ()) =
+            tokio::join!(tokio::time::timeout(Duration::from_secs(3), next()), delayed_shutdown);
         assert!(matches!(ended, Ok(Some(Err(_)))), "{ended:?}");
         let late_ms = started_at.elapsed().as_millis() as u64 - due_ms;
         assert!(late_ms <= 110, "the answer ended {late_ms} ms late");
@@ -601,15 +610,15 @@
 #[case::finished_with_hand_off(Some(1_000))]
 #[case::more_events_without_hand_off(None)]
 #[tokio::test(start_paused = true)]
-async fn slowly_read_answer_keeps_all_events_of_its_engine(#[case] hand_over_ms: Option<u64>) {
+async fn slowly_read_answer_keeps_all_events_of_its_engine(#[case] hand_off_ms: Option<u64>) {
     run_local(async {
         let fake = FakeEngines { connects_at_once: Rc::new(Cell::new(true)), ..FakeEngines::default() };
         let gateway = start_gateway(&fake);
         let started_at = tokio::time::Instant::now();
         let after = |ms| started_at + Duration::from_millis(ms);
         let answer = gateway.submit(submission("a")).expect("the request is accepted").answer().await;
-        let hand_over = hand_over_ms.map(|from| (after(from), Duration::from_millis(100)));
-        gateway.leave(Departure { take_until: None, answers_by: after(2_000), hand_over });
+        let hand_off = hand_off_ms.map(|from| (after(from), Duration::from_millis(100)));
+        gateway.shut_down(ShutdownSchedule { accept_until: None, answer_deadline: after(2_000), hand_off });
         tokio::time::sleep(Duration::from_millis(2_200)).await;
         assert_eq!(collect_events(answer).await.concat(), b"ab");
     })
@@ -624,11 +633,11 @@
         let gateway = start_gateway(&FakeEngines::default());
         let ticket = gateway.submit(submission("a")).expect("the request is accepted");
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let answers_by = tokio::time::Instant::now() + Duration::from_secs(1);
-        gateway.leave(Departure { take_until: None, answers_by, hand_over: None });
+        let answer_deadline = tokio::time::Instant::now() + Duration::from_secs(1);
+        gateway.shut_down(ShutdownSchedule { accept_until: None, answer_deadline, hand_off: None });
         let answer = ticket.answer().await;
         assert!(matches!(answer, Answer::Refused { .. }), "{answer:?}");
-        assert!(tokio::time::Instant::now() < answers_by);
+        assert!(tokio::time::Instant::now() < answer_deadline);
     })
     .await;
 }
@@ -646,7 +655,7 @@
             ..Settings::default()
         };
         gateway
-            .tell(Change { revision: 2, news: News::Settings(new_settings) })
+            .apply_change(Change { revision: 2, content: ChangeContent::Settings(new_settings) })
             .expect("the driver is running");
         let answer = gateway.submit(submission("a")).expect("the request is accepted").answer().await;
         assert!(
@@ -704,20 +713,20 @@
         let (gateway, _) = start("test", settings, 1, fake.clone(), tuning).expect("valid settings");
         let ready = Condition::Ready;
         let engines = vec![listed_engine(1, 0, "r1", ready), listed_engine(11, 1, "w1", ready)];
-        gateway.tell(roster_change(RosterForm::Full, engines)).expect("the driver is running");
+        gateway.apply_change(roster_change(RosterForm::Full, engines)).expect("the driver is running");
         requests_to_second_writer(&gateway, &fake, "before").await;
         CLOCK_STEP_US.set(step_s * 1_000_000);
         let mut new_writer = listed_engine(12, 1, "w2", ready);
         new_writer.entry.started_at = stepped_wall_clock();
         gateway
-            .tell(roster_change(RosterForm::Delta, vec![new_writer.clone()]))
+            .apply_change(roster_change(RosterForm::Delta, vec![new_writer.clone()]))
             .expect("the driver is running");
         let cold = requests_to_second_writer(&gateway, &fake, "cold").await;
         // Time advances on the monotonic clock; a full roster then reports the same start time again.
         tokio::time::sleep(Duration::from_secs(6)).await;
         let full_roster =
             vec![listed_engine(1, 0, "r1", ready), listed_engine(11, 1, "w1", ready), new_writer];
-        gateway.tell(roster_change(RosterForm::Full, full_roster)).expect("the driver is running");
+        gateway.apply_change(roster_change(RosterForm::Full, full_roster)).expect("the driver is running");
         let warm = requests_to_second_writer(&gateway, &fake, "warm").await;
         // A server in slow start gets about a fifth of the requests, and a warm server half of them.
         assert!(cold < 70 && warm > 75, "the server got {cold} of 200 requests while cold, {warm} when warm");
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -3,7 +3,7 @@
 mod loopback;
 use loopback::*;
 use meadowlug::config::{List, Names};
-use meadowlug::gateway::{Change, Changes, News};
+use meadowlug::gateway::{Change, ChangeContent, Changes};
 use meadowlug::net::{Asking, Watch};
 use rstest::rstest;
 use std::cell::RefCell;
@@ -64,7 +64,9 @@
     let change = tokio::time::timeout(Duration::from_secs(30), watch.next())
         .await
         .expect("a change within the time limit");
-    let Some(Change { revision, news: News::Roster { engines, .. } }) = change else { panic!("no roster") };
+    let Some(Change { revision, content: ChangeContent::Roster { engines, .. } }) = change else {
+        panic!("no roster")
+    };
     (revision, engines.iter().map(|engine| engine.name.to_string()).collect())
 }
 
