--- a/src/numeric.rs
+++ b/src/numeric.rs
@@ -90,7 +90,8 @@
 }
 
 impl LeakyBucket {
-    /// Counts one event and returns the new level. Since the last event, the level has fallen at `rate` per second.
+    /// Counts one event and returns the new level. Since the
+    /// last event, the level has fallen at `rate` per second.
     pub fn add(&mut self, now: Micros, rate: f64) -> f64 {
         self.level = (self.level - rate * seconds(now.saturating_sub(self.updated_at))).max(0.0) + 1.0;
         self.updated_at = now;
