--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -100,11 +100,11 @@
                 Some(stream) => stream,
                 None => TcpStream::connect(gateway.address).await.ok()?,
             };
-            self.judge.borrow_mut().sent(&id, gateway.number, effect, deadline);
+            self.judge.borrow_mut().request_sent(&id, gateway.number, effect, deadline);
             let exchange = self.exchange(&mut stream, &id, class, deadline, manner, draws).await?;
             let crossed = exchange.outcome == Outcome::Closed && rested;
-            if !crossed || self.judge.borrow().attempts(&id) > 0 {
-                self.judge.borrow_mut().answered(&id, exchange.outcome);
+            if !crossed || self.judge.borrow().attempt_count(&id) > 0 {
+                self.judge.borrow_mut().request_answered(&id, exchange.outcome);
                 return exchange.keeps.then_some(stream);
             }
         }
@@ -143,7 +143,7 @@
         if stream.write_all(rest.as_bytes()).await.is_err() {
             return Some(closed);
         }
-        self.judge.borrow_mut().sent_whole(id);
+        self.judge.borrow_mut().request_fully_sent(id);
         if manner == Manner::LeavesEarly {
             let stays = Duration::from_millis(draws.u64(1..900));
             let gone = tokio::time::timeout(stays, read_answer(stream)).await.is_err();
@@ -154,13 +154,13 @@
             return None;
         }
         let answer = tokio::time::timeout(deadline + PATIENCE, read_head(stream)).await;
-        let Ok(head) = answer else { return Some(Exchange { outcome: Outcome::Nothing, keeps: false }) };
+        let Ok(head) = answer else { return Some(Exchange { outcome: Outcome::NoAnswer, keeps: false }) };
         let Some(head) = head else { return Some(closed) };
         let keeps = !head.to_ascii_lowercase().contains("connection: close");
         let whole = read_body(stream, &head).await;
         let outcome = match (head.split(' ').nth(1), whole) {
             (Some("200"), true) => Outcome::Served,
-            (Some("200"), false) => Outcome::Cut,
+            (Some("200"), false) => Outcome::StreamCut,
             (Some("429" | "503"), _) => Outcome::Refused,
             _ => Outcome::Failed,
         };
--- a/tests/soak/discovery.rs
+++ b/tests/soak/discovery.rs
@@ -65,7 +65,7 @@
         let late = Instant::now() + TOLD_AFTER_SILENCE;
         for gateway in 0..self.gateways {
             let at = if drains { late } else { Instant::now() };
-            self.judge.borrow_mut().told(gateway, server, drains, at);
+            self.judge.borrow_mut().drain_changed(gateway, server, drains, at);
         }
         self.news.notify_waiters();
     }
@@ -94,7 +94,7 @@
         let now = Instant::now();
         let draining = self.draining.borrow();
         for (server, _) in draining.iter().enumerate().filter(|(_, drains)| **drains) {
-            self.judge.borrow_mut().told_at_the_latest(gateway, server, now);
+            self.judge.borrow_mut().drain_known_at(gateway, server, now);
         }
     }
 
--- a/tests/soak/gateways.rs
+++ b/tests/soak/gateways.rs
@@ -107,12 +107,12 @@
             command.env("FAULT_FILES", if self.faults.files { "1" } else { "0" });
         }
         self.child.replace(Some(command.spawn().expect("it starts")));
-        self.judge.borrow_mut().started(self.number);
+        self.judge.borrow_mut().gateway_started(self.number);
         self.discovery.told_all(self.number);
         let began = Instant::now();
         while !crate::clients::is_ready(self.address).await {
             if began.elapsed() > READY_WITHIN {
-                self.judge.borrow_mut().crashed(self.number, "not ready in time");
+                self.judge.borrow_mut().gateway_crashed(self.number, "not ready in time");
                 return;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -141,7 +141,7 @@
             && let Some(how) = self.has_ended()
         {
             self.admitted.set(false);
-            self.judge.borrow_mut().crashed(self.number, &how);
+            self.judge.borrow_mut().gateway_crashed(self.number, &how);
         }
     }
 
@@ -152,14 +152,14 @@
             let _ = child.kill();
             let _ = child.wait();
             if running {
-                self.judge.borrow_mut().killed(self.number);
+                self.judge.borrow_mut().gateway_killed(self.number);
             }
         }
     }
 
     /// Asks it to stop; new clients come for a moment longer. It is killed when its time is over.
     pub async fn stop(&self) {
-        self.judge.borrow_mut().stopped(self.number);
+        self.judge.borrow_mut().gateway_stopping(self.number);
         self.signal(Signal::TERM);
         let asked = Instant::now();
         tokio::time::sleep(Duration::from_millis(300)).await;
--- a/tests/soak/network.rs
+++ b/tests/soak/network.rs
@@ -248,6 +248,6 @@
         let late = before.elapsed().saturating_sub(STEP);
         let mut judge = judge.borrow_mut();
         judge.lateness = judge.lateness.max(late);
-        judge.look_at_open();
+        judge.check_open_requests();
     }
 }
--- a/tests/soak/scenario.rs
+++ b/tests/soak/scenario.rs
@@ -300,7 +300,7 @@
         for gateway in self.gateways.iter().filter(|gateway| gateway.admitted.get()) {
             let asked = ask(gateway.management, "GET", "/ops/stats", &[], "");
             let Ok(answer) = tokio::time::timeout(Duration::from_secs(2), asked).await else {
-                self.judge.borrow_mut().crashed(gateway.number, "no figures in time");
+                self.judge.borrow_mut().gateway_crashed(gateway.number, "no figures in time");
                 continue;
             };
             for line in answer.body.lines().filter(|line| !line.starts_with('#')) {
--- a/tests/soak/servers.rs
+++ b/tests/soak/servers.rs
@@ -112,7 +112,7 @@
         let told = request.headers.get("req-deadline").and_then(|told| told.strip_suffix('m'));
         let told = Duration::from_millis(told.and_then(|told| told.parse().ok()).unwrap_or(0));
         let first = self.link.written();
-        self.fleet.judge.borrow_mut().arrived(&id, self.number, !self.reads, first, told);
+        self.fleet.judge.borrow_mut().attempt_arrived(&id, self.number, !self.reads, first, told);
         let arrived = Arrived { line: self, id: &id };
         let held = !self.reads && self.take(&id);
         let answered = self.work(stream, &arrived, held).await;
@@ -120,7 +120,7 @@
         // Said in full it is lost, too, where the network broke the connection before it was delivered.
         let lost = answered.is_none() && !self.link.is_closed() || self.link.was_reset();
         if lost && held {
-            self.fleet.judge.borrow_mut().spoil(&id);
+            self.fleet.judge.borrow_mut().record_fault(&id);
         }
         answered
     }
@@ -140,19 +140,19 @@
                 return say(stream, "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n").await;
             }
             Behaviour::Declines => {
-                judge.borrow_mut().turned_away(arrived.id, !self.reads);
+                judge.borrow_mut().attempt_declined(arrived.id, !self.reads);
                 self.give_back(arrived.id, held);
                 return say(stream, "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
                     .await;
             }
             Behaviour::Hangs => {
-                judge.borrow_mut().spoil(arrived.id);
+                judge.borrow_mut().record_fault(arrived.id);
                 self.link.until_closed(Duration::from_secs(60)).await;
                 self.give_back(arrived.id, held);
                 return None;
             }
             Behaviour::Breaks => {
-                judge.borrow_mut().spoil(arrived.id);
+                judge.borrow_mut().record_fault(arrived.id);
                 self.link.until_closed(Duration::from_millis(draws.u64(0..40))).await;
                 self.give_back(arrived.id, held);
                 return None;
@@ -164,13 +164,13 @@
                 return None;
             }
             self.fleet.states.0.borrow_mut().insert(arrived.id.to_owned(), false);
-            judge.borrow_mut().set_held(arrived.id, true);
+            judge.borrow_mut().set_state_held(arrived.id, true);
             let body = "{\"cached_tokens\":0}";
             let head = format!("HTTP/1.1 202 Accepted\r\nContent-Length: {}\r\n\r\n{body}", body.len());
             return say(stream, &head).await;
         }
         if !held {
-            judge.borrow_mut().turned_away(arrived.id, true);
+            judge.borrow_mut().attempt_declined(arrived.id, true);
             return say(stream, "HTTP/1.1 410 Gone\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n").await;
         }
         let queued = if draws.u8(0..6) == 0 { draws.u64(300..1200) } else { draws.u64(5..80) };
@@ -191,7 +191,7 @@
         for n in 0..events {
             say(stream, &chunk(format!("data: {{\"n\":{n}}}\n\n"))).await?;
             if matches!(self.behaviour.get(), Behaviour::Hangs | Behaviour::Breaks) {
-                self.fleet.judge.borrow_mut().spoil(id);
+                self.fleet.judge.borrow_mut().record_fault(id);
                 let hangs = self.behaviour.get() == Behaviour::Hangs;
                 self.link.until_closed(Duration::from_secs(if hangs { 60 } else { 0 })).await;
                 return None;
@@ -201,7 +201,7 @@
             }
             if self.link.is_held() {
                 // Its gateway hears no more of it than of a server that hangs, and may end it.
-                self.fleet.judge.borrow_mut().spoil(id);
+                self.fleet.judge.borrow_mut().record_fault(id);
             }
         }
         say(stream, &chunk("data: [DONE]\n\n".to_owned())).await?;
@@ -213,7 +213,7 @@
         let mut states = self.fleet.states.0.borrow_mut();
         let Some(waited_for) = states.get_mut(id).filter(|waited_for| !**waited_for) else { return false };
         *waited_for = true;
-        self.fleet.judge.borrow_mut().set_held(id, false);
+        self.fleet.judge.borrow_mut().set_state_held(id, false);
         true
     }
 
@@ -221,7 +221,7 @@
     fn give_back(&self, id: &str, held: bool) {
         if let Some(waited_for) = self.fleet.states.0.borrow_mut().get_mut(id).filter(|_| held) {
             *waited_for = false;
-            self.fleet.judge.borrow_mut().set_held(id, true);
+            self.fleet.judge.borrow_mut().set_state_held(id, true);
         }
     }
 
@@ -230,7 +230,7 @@
         let mut states = self.fleet.states.0.borrow_mut();
         if states.get(id) == Some(&false) {
             states.remove(id);
-            self.fleet.judge.borrow_mut().set_held(id, false);
+            self.fleet.judge.borrow_mut().set_state_held(id, false);
         }
     }
 }
