--- a/tests/soak/gateways.rs
+++ b/tests/soak/gateways.rs
@@ -18,7 +18,7 @@
 /// Faults of the system calls of a process.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    pub library: Option<PathBuf>,
+    pub fault_library: Option<PathBuf>,
     pub seed: u64,
     pub per_mille: u64,
     pub step: (u64, i64),
@@ -98,9 +98,9 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_meadowlug"));
         command.env("BALANCER_CONFIG", self.config_path()).env("TMPDIR", self.folder.path());
         command.env("MEADOWLUG_LOG", "debug").stderr(log).stdin(Stdio::null());
-        if let Some(library) = &self.faults.library {
+        if let Some(fault_library) = &self.faults.fault_library {
             let (after_ms, seconds) = self.faults.step;
-            command.env("LD_PRELOAD", library).env("FAULT_SEED", self.faults.seed.to_string());
+            command.env("LD_PRELOAD", fault_library).env("FAULT_SEED", self.faults.seed.to_string());
             command.env("FAULT_PER_MILLE", self.faults.per_mille.to_string());
             command.env("FAULT_STEP_AFTER_MS", after_ms.to_string());
             command.env("FAULT_STEP_S", seconds.to_string());
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -31,7 +31,7 @@
 }
 
 /// Builds the library that has system calls fail, apart from the build that runs this test.
-fn fault_library() -> PathBuf {
+fn build_fault_library() -> PathBuf {
     let target = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("fault-shim");
     let mut build = std::process::Command::new(env!("CARGO"));
     build
@@ -46,7 +46,7 @@
 fn invariants_hold_over_real_processes_in_overlapping_troubles() {
     let gateways = variable("SOAK_GATEWAYS").map_or(24, |count| count.parse().expect("a count"));
     let seconds = variable("SOAK_SECONDS").map_or(8, |seconds| seconds.parse().expect("seconds"));
-    let library = fault_library();
+    let fault_library = build_fault_library();
     // Kept below target/ until the next run: a violation is traced by its request's id.
     let kept = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("soak-logs");
     let logs = variable("SOAK_LOGS").map_or(kept, PathBuf::from);
@@ -56,7 +56,7 @@
         // Those of an earlier run are no use beside these.
         let _ = std::fs::remove_dir_all(&logs);
         std::fs::create_dir_all(&logs).expect("a folder for logs");
-        let scenario = Scenario { seed, gateways, seconds, library: library.clone(), logs };
+        let scenario = Scenario { seed, gateways, seconds, fault_library: fault_library.clone(), logs };
         let Report { summary, violations } = scenario.run();
         println!("soak seed={seed} {summary} violations={}", violations.len());
         violations.iter().take(20).for_each(|violation| println!("  {violation}"));
--- a/tests/soak/scenario.rs
+++ b/tests/soak/scenario.rs
@@ -1,4 +1,5 @@
-//! One seed of the soak: a fleet, its traffic, and troubles that overlap.
+//! One seed of the soak: starts the gateways and servers, runs the client traffic and applies overlapping
+//! disruptions.
 
 use crate::clients::{CLASSES, Traffic};
 use crate::discovery::Discovery;
@@ -15,38 +16,43 @@
 use std::time::Duration;
 use tokio::task::{LocalSet, spawn_local};
 
-const READERS: usize = 5;
-const SERVERS: usize = 10;
-const CLIENTS_EACH: usize = 3;
-/// How long what is under way may take to end once the traffic is over.
+const READER_COUNT: usize = 5;
+const SERVER_COUNT: usize = 10;
+const CLIENTS_PER_GATEWAY: usize = 3;
+/// Maximum time for which the clients may still run once the traffic is over.
 const WIND_DOWN: Duration = Duration::from_secs(6);
 
-/// What goes wrong.
+/// A disruption of the network, a server, discovery or some of the gateways.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Disruption {
+    /// Connections that are already open carry no data; new ones work.
     OldConnectionsSilent(usize),
+    /// No connection to the server carries data.
     ServerCutOff(usize),
     ConnectionsReset(usize),
-    ServerBehaves(usize, Behaviour),
+    ServerMisbehaves(usize, Behaviour),
     ServerDrains(usize),
     ServerRestarts(usize),
+    /// Open discovery watches stay open but carry no more updates.
     WatchesSilent,
     DiscoveryDown,
+    /// Gateways are stopped by a signal and started again.
     GatewaysStop,
     GatewaysKilled,
     GatewaysReload,
+    /// Gateway processes are suspended for a moment.
     GatewaysPause,
 }
 
-impl Trouble {
-    fn draw(draws: &mut Rng) -> Self {
-        let server = draws.usize(0..SERVERS);
-        let behaviours = [Behaviour::Errors, Behaviour::Declines, Behaviour::Hangs, Behaviour::Breaks];
-        match draws.u8(0..15) {
+impl Disruption {
+    fn sample(rng: &mut Rng) -> Self {
+        let server = rng.usize(0..SERVER_COUNT);
+        let faulty_behaviours = [Behaviour::Errors, Behaviour::Declines, Behaviour::Hangs, Behaviour::Breaks];
+        match rng.u8(0..15) {
             0 | 1 => Self::OldConnectionsSilent(server),
             2 => Self::ServerCutOff(server),
             3 => Self::ConnectionsReset(server),
-            4 | 5 => Self::ServerBehaves(server, behaviours[draws.usize(0..behaviours.len())]),
+            4 | 5 => Self::ServerMisbehaves(server, faulty_behaviours[rng.usize(0..faulty_behaviours.len())]),
             6 => Self::ServerDrains(server),
             7 => Self::WatchesSilent,
             8 => Self::DiscoveryDown,
@@ -59,23 +65,27 @@
     }
 }
 
-/// What is played.
+/// Parameters of one soak run.
 pub struct Scenario {
     pub seed: u64,
+    /// Number of gateway processes.
     pub gateways: usize,
+    /// Duration of the traffic and the disruptions.
     pub seconds: u64,
-    /// The library that has system calls fail.
-    pub library: PathBuf,
+    /// The preloaded library that makes system calls fail.
+    pub fault_library: PathBuf,
+    /// Directory for the logs of the gateways.
     pub logs: PathBuf,
 }
 
-/// What came of it.
+/// Result of a run.
 pub struct Report {
     pub summary: String,
     pub violations: Vec<String>,
 }
 
-struct World {
+/// The running servers, discovery agents and gateways of a run.
+struct Environment {
     servers: Vec<Rc<Server>>,
     discovery: Rc<Discovery>,
     gateways: Vec<Rc<Gateway>>,
@@ -85,11 +95,12 @@
 
 impl Scenario {
     pub fn run(&self) -> Report {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        LocalSet::new().block_on(&runtime, self.play())
+        let runtime =
+            tokio::runtime::Builder::new_current_thread().enable_all().build().expect("tokio runtime builds");
+        LocalSet::new().block_on(&runtime, self.execute())
     }
 
-    fn settings(&self, resume: bool) -> Value {
+    fn gateway_settings(&self, resume: bool) -> Value {
         let class = |(name, effect): &(&str, Effect)| match effect {
             Effect::Safe => {
                 json!({"name": name, "objectiveMs": 1000, "hardLimitMs": 4000, "effect": "safe"})
@@ -111,145 +122,158 @@
         })
     }
 
-    async fn play(&self) -> Report {
-        let mut draws = Rng::with_seed(self.seed);
-        let resume = draws.bool();
+    async fn execute(&self) -> Report {
+        let mut rng = Rng::with_seed(self.seed);
+        let resume = rng.bool();
         let judge = Rc::new(RefCell::new(Judge::new(resume)));
-        let world = Rc::new(self.build(&mut draws, &judge, resume).await);
+        let environment = Rc::new(self.start_environment(&mut rng, &judge, resume).await);
         spawn_local(measure_lateness(judge.clone()));
         let traffic = Rc::new(Traffic {
-            gateways: world.gateways.clone(),
+            gateways: environment.gateways.clone(),
             judge: judge.clone(),
             over: Cell::new(false),
             next_id: Cell::new(1),
         });
         let mut clients = Vec::new();
         for gateway in 0..self.gateways {
-            for _ in 0..CLIENTS_EACH {
-                clients.push(spawn_local(traffic.clone().client(gateway, draws.u64(..))));
+            for _ in 0..CLIENTS_PER_GATEWAY {
+                clients.push(spawn_local(traffic.clone().client(gateway, rng.u64(..))));
             }
         }
-        let troubles = self.troubles(&mut draws);
-        let drawn: Vec<_> =
-            troubles.iter().map(|(at, trouble, span)| format!("{at}+{span}:{trouble:?}")).collect();
-        let running: Vec<_> = troubles
+        let disruptions = self.sample_disruptions(&mut rng);
+        let schedule: Vec<_> = disruptions
+            .iter()
+            .map(|(start_ms, disruption, duration_ms)| format!("{start_ms}+{duration_ms}:{disruption:?}"))
+            .collect();
+        let disruption_tasks: Vec<_> = disruptions
             .into_iter()
-            .map(|(at, trouble, span)| {
-                let (world, seed) = (world.clone(), draws.u64(..));
+            .map(|(start_ms, disruption, duration_ms)| {
+                let (environment, seed) = (environment.clone(), rng.u64(..));
                 spawn_local(async move {
-                    tokio::time::sleep(Duration::from_millis(at)).await;
-                    world.strike(trouble, Duration::from_millis(span), Rng::with_seed(seed)).await;
+                    tokio::time::sleep(Duration::from_millis(start_ms)).await;
+                    environment
+                        .apply(disruption, Duration::from_millis(duration_ms), Rng::with_seed(seed))
+                        .await;
                 })
             })
             .collect();
         for _ in 0..self.seconds * 20 {
             tokio::time::sleep(Duration::from_millis(50)).await;
-            world.gateways.iter().for_each(|gateway| gateway.look());
+            environment.gateways.iter().for_each(|gateway| gateway.look());
         }
         traffic.over.set(true);
-        for task in running {
-            task.await.expect("a trouble ends");
+        for task in disruption_tasks {
+            task.await.expect("disruption task panicked");
         }
-        let ended = async {
+        let clients_ended = async {
             for client in clients {
-                client.await.expect("a client ends");
+                client.await.expect("client task panicked");
             }
         };
-        let _ = tokio::time::timeout(WIND_DOWN, ended).await;
+        let _ = tokio::time::timeout(WIND_DOWN, clients_ended).await;
         tokio::time::sleep(Duration::from_millis(1_500)).await;
-        world.read_figures().await;
+        environment.check_metrics().await;
         let summary = {
             let judge = judge.borrow();
             format!(
-                "resume={resume} outcomes={:?} lateness={:?} troubles={drawn:?}",
+                "resume={resume} outcomes={:?} lateness={:?} disruptions={schedule:?}",
                 judge.outcomes, judge.lateness
             )
         };
-        world.gateways.iter().for_each(|gateway| gateway.kill());
+        environment.gateways.iter().for_each(|gateway| gateway.kill());
         let violations = std::mem::take(&mut judge.borrow_mut().violations);
         Report { summary, violations }
     }
 
-    async fn build(&self, draws: &mut Rng, judge: &Rc<RefCell<Judge>>, resume: bool) -> World {
+    async fn start_environment(
+        &self,
+        rng: &mut Rng,
+        judge: &Rc<RefCell<Judge>>,
+        resume: bool,
+    ) -> Environment {
         let fleet = Fleet { judge: judge.clone(), states: Rc::<States>::default() };
         let mut servers = Vec::new();
-        for number in 0..SERVERS {
-            servers.push(Server::start(number, number < READERS, &fleet).await);
+        for number in 0..SERVER_COUNT {
+            servers.push(Server::start(number, number < READER_COUNT, &fleet).await);
         }
         let discovery = Discovery::new(servers.clone(), judge.clone(), self.gateways);
         let mut gateways = Vec::new();
         for number in 0..self.gateways {
             let agent = discovery.agent(number).await;
-            let config = json!({"discovery": agent.to_string(), "seed": format!("{:x}", draws.u64(..)),
-                "limits": {"memory_mb": 64, "sockets": 256}, "settings": self.settings(resume)});
-            let faults = self.faults(number, draws);
+            let config = json!({"discovery": agent.to_string(), "seed": format!("{:x}", rng.u64(..)),
+                "limits": {"memory_mb": 64, "sockets": 256}, "settings": self.gateway_settings(resume)});
+            let faults = self.sample_faults(number, rng);
             gateways.push(Gateway::new(number, config, faults, judge.clone(), discovery.clone()));
         }
-        let starts = gateways.iter().map(|gateway| {
+        let start_tasks = gateways.iter().map(|gateway| {
             let (gateway, logs) = (gateway.clone(), self.logs.clone());
             spawn_local(async move { gateway.start(&logs).await })
         });
-        for start in starts.collect::<Vec<_>>() {
-            start.await.expect("it starts");
+        for start_task in start_tasks.collect::<Vec<_>>() {
+            start_task.await.expect("gateway start task panicked");
         }
-        World { servers, discovery, gateways, judge: judge.clone(), logs: self.logs.clone() }
+        Environment { servers, discovery, gateways, judge: judge.clone(), logs: self.logs.clone() }
     }
 
-    /// A third of the processes have system calls that fail; some of those a clock that is stepped.
-    fn faults(&self, number: usize, draws: &mut Rng) -> Faults {
+    /// Samples the system call faults of a gateway. One gateway in three has failing system calls; the wall
+    /// clock of some of those is stepped.
+    fn sample_faults(&self, number: usize, rng: &mut Rng) -> Faults {
         let steps = [0, 3, -3, 3_600, -3_600];
-        let step = (draws.u64(1_000..5_000), steps[draws.usize(0..steps.len())]);
-        let seed = draws.u64(..);
+        let step = (rng.u64(1_000..5_000), steps[rng.usize(0..steps.len())]);
+        let seed = rng.u64(..);
         if !number.is_multiple_of(3) {
             return Faults::default();
         }
-        let per_mille = [2, 10, 30][draws.usize(0..3)];
-        Faults { library: Some(self.library.clone()), seed, per_mille, step, files: draws.bool() }
+        let per_mille = [2, 10, 30][rng.usize(0..3)];
+        Faults { fault_library: Some(self.fault_library.clone()), seed, per_mille, step, files: rng.bool() }
     }
 
-    /// When troubles begin, what they are, and how long they last. Two or three overlap at any time.
-    fn troubles(&self, draws: &mut Rng) -> Vec<(u64, Trouble, u64)> {
-        let span_ms = self.seconds * 1_000;
+    /// Samples the start time in ms, the kind and the duration in ms of each disruption. Two or three overlap
+    /// at any time.
+    fn sample_disruptions(&self, rng: &mut Rng) -> Vec<(u64, Disruption, u64)> {
+        let run_ms = self.seconds * 1_000;
         let count = self.seconds as usize * 3 / 2;
-        let mut troubles: Vec<_> = (0..count)
-            .map(|_| (draws.u64(500..span_ms - 1_500), Trouble::draw(draws), draws.u64(500..2_500)))
+        let mut disruptions: Vec<_> = (0..count)
+            .map(|_| (rng.u64(500..run_ms - 1_500), Disruption::sample(rng), rng.u64(500..2_500)))
             .collect();
-        troubles.sort_by_key(|(at, ..)| *at);
-        troubles
+        disruptions.sort_by_key(|(start_ms, ..)| *start_ms);
+        disruptions
     }
 }
 
-impl World {
-    async fn strike(&self, trouble: Trouble, span: Duration, mut draws: Rng) {
-        match trouble {
-            Trouble::OldConnectionsSilent(server) => self.weather(server, Weather::OldHeld, span).await,
-            Trouble::ServerCutOff(server) => self.weather(server, Weather::AllHeld, span).await,
-            Trouble::ConnectionsReset(server) => self.servers[server].proxy.reset(),
-            Trouble::ServerBehaves(server, behaviour) => {
+impl Environment {
+    async fn apply(&self, disruption: Disruption, duration: Duration, mut rng: Rng) {
+        match disruption {
+            Disruption::OldConnectionsSilent(server) => {
+                self.hold_links(server, Weather::OldHeld, duration).await
+            }
+            Disruption::ServerCutOff(server) => self.hold_links(server, Weather::AllHeld, duration).await,
+            Disruption::ConnectionsReset(server) => self.servers[server].proxy.reset(),
+            Disruption::ServerMisbehaves(server, behaviour) => {
                 self.servers[server].behave(behaviour);
-                tokio::time::sleep(span).await;
+                tokio::time::sleep(duration).await;
                 self.servers[server].behave(Behaviour::Well);
             }
-            Trouble::ServerDrains(server) => {
+            Disruption::ServerDrains(server) => {
                 self.discovery.set_draining(server, true);
-                tokio::time::sleep(span + Duration::from_secs(1)).await;
+                tokio::time::sleep(duration + Duration::from_secs(1)).await;
                 self.discovery.set_draining(server, false);
             }
-            Trouble::ServerRestarts(server) => {
+            Disruption::ServerRestarts(server) => {
                 self.servers[server].proxy.reset();
                 self.servers[server].behave(Behaviour::Breaks);
-                tokio::time::sleep(span / 2).await;
+                tokio::time::sleep(duration / 2).await;
                 self.servers[server].behave(Behaviour::Well);
                 self.discovery.restarted(server);
             }
-            Trouble::WatchesSilent => self.discovery.silence(),
-            Trouble::DiscoveryDown => {
+            Disruption::WatchesSilent => self.discovery.silence(),
+            Disruption::DiscoveryDown => {
                 self.discovery.set_down(true);
-                tokio::time::sleep(span).await;
+                tokio::time::sleep(duration).await;
                 self.discovery.set_down(false);
             }
-            Trouble::GatewaysStop => {
-                for gateway in self.some(&mut draws) {
+            Disruption::GatewaysStop => {
+                for gateway in self.sample_gateways(&mut rng) {
                     let logs = self.logs.clone();
                     gateway.restarts.set(true);
                     spawn_local(async move {
@@ -259,55 +283,56 @@
                     tokio::time::sleep(Duration::from_millis(200)).await;
                 }
             }
-            Trouble::GatewaysKilled => {
-                for gateway in self.some(&mut draws) {
+            Disruption::GatewaysKilled => {
+                for gateway in self.sample_gateways(&mut rng) {
                     gateway.restarts.set(true);
                     gateway.kill();
                     let logs = self.logs.clone();
                     spawn_local(async move { gateway.start(&logs).await });
                 }
             }
-            Trouble::GatewaysReload => {
-                for gateway in self.some(&mut draws) {
+            Disruption::GatewaysReload => {
+                for gateway in self.sample_gateways(&mut rng) {
                     gateway.reload().await;
                 }
             }
-            Trouble::GatewaysPause => {
-                for gateway in self.some(&mut draws) {
+            Disruption::GatewaysPause => {
+                for gateway in self.sample_gateways(&mut rng) {
                     spawn_local(async move { gateway.pause().await });
                 }
             }
         }
     }
 
-    async fn weather(&self, server: usize, weather: Weather, span: Duration) {
-        self.servers[server].proxy.set(weather);
-        tokio::time::sleep(span).await;
+    async fn hold_links(&self, server: usize, condition: Weather, duration: Duration) {
+        self.servers[server].proxy.set(condition);
+        tokio::time::sleep(duration).await;
         self.servers[server].proxy.set(Weather::Fair);
     }
 
-    /// Some of the gateways that take clients.
-    fn some(&self, draws: &mut Rng) -> Vec<Rc<Gateway>> {
-        let mut open: Vec<_> =
+    /// Samples up to a sixth of the gateways, rounded up, from those that accept clients.
+    fn sample_gateways(&self, rng: &mut Rng) -> Vec<Rc<Gateway>> {
+        let mut available: Vec<_> =
             self.gateways.iter().filter(|g| g.admitted.get() && !g.restarts.get()).cloned().collect();
-        draws.shuffle(&mut open);
-        open.truncate(self.gateways.len().div_ceil(6));
-        open
+        rng.shuffle(&mut available);
+        available.truncate(self.gateways.len().div_ceil(6));
+        available
     }
 
-    /// What the processes counted themselves: no invariant may have been violated, and nothing may be open any more.
-    async fn read_figures(&self) {
+    /// Checks the metrics of the gateways: no invariant may have been violated and no request may still be in
+    /// progress.
+    async fn check_metrics(&self) {
         for gateway in self.gateways.iter().filter(|gateway| gateway.admitted.get()) {
-            let asked = ask(gateway.management, "GET", "/ops/stats", &[], "");
-            let Ok(answer) = tokio::time::timeout(Duration::from_secs(2), asked).await else {
-                self.judge.borrow_mut().gateway_crashed(gateway.number, "no figures in time");
+            let stats_request = ask(gateway.management, "GET", "/ops/stats", &[], "");
+            let Ok(stats) = tokio::time::timeout(Duration::from_secs(2), stats_request).await else {
+                self.judge.borrow_mut().gateway_crashed(gateway.number, "no metrics in time");
                 continue;
             };
-            for line in answer.body.lines().filter(|line| !line.starts_with('#')) {
+            for line in stats.body.lines().filter(|line| !line.starts_with('#')) {
                 let Some((name, value)) = line.rsplit_once(' ') else { continue };
-                let counted = name.contains("invariant_violations") || name.ends_with("in_progress");
-                if counted && value != "0" {
-                    let violation = format!("figures: gateway={} {line}", gateway.number);
+                let must_be_zero = name.contains("invariant_violations") || name.ends_with("in_progress");
+                if must_be_zero && value != "0" {
+                    let violation = format!("metrics: gateway={} {line}", gateway.number);
                     self.judge.borrow_mut().violations.push(violation);
                 }
             }
