--- a/tests/soak/network.rs
+++ b/tests/soak/network.rs
@@ -1,4 +1,5 @@
-//! A proxy between gateways and one server: it can hold what is on the way, cut the server off, or reset its connections.
+//! A proxy between the gateways and one server. The proxy can hold data in transit, cut the server off or
+//! reset its connections.
 
 use crate::judge::Judge;
 use std::cell::{Cell, RefCell};
@@ -10,69 +11,71 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// How often a held connection is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
-const ROOM: usize = 64 << 10;
+/// Interval at which the state of a held connection is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Size of the buffers of a connection, in bytes.
+const BUFFER_BYTES: usize = 64 << 10;
 
-/// What the proxy does with connections now.
+/// Condition of the proxy's links.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Weather {
+pub enum LinkCondition {
     #[default]
-    Fair,
-    /// Connections that are open fall silent; new ones are well.
-    OldHeld,
-    /// All connections are silent.
-    AllHeld,
+    Normal,
+    /// Links that are already open carry no data; new links work.
+    OldLinksHeld,
+    /// No link carries data.
+    AllLinksHeld,
 }
 
 /// One connection through the proxy.
 #[derive(Debug)]
 pub struct Link {
-    /// When it came up: those before a weather change are old.
-    opened: Instant,
-    weather: Rc<Cell<(Weather, Instant)>>,
-    /// When the first byte of the request in hand came.
+    /// When the connection was accepted. Links accepted before the condition changed count as old.
+    opened_at: Instant,
+    condition: Rc<Cell<(LinkCondition, Instant)>>,
+    /// When the first byte of the current request was received.
     first_byte: Cell<Option<Instant>>,
-    /// Whether the connection was held since the request before: what comes may have been written long before.
-    held: Cell<bool>,
+    /// True if the link was held since the previous request: received data may have been sent long before.
+    held_since_last_request: Cell<bool>,
     closed: Cell<bool>,
     closing: Notify,
-    /// Whether it was the proxy that reset it.
-    reset: Cell<bool>,
+    /// True if the proxy reset the connection.
+    reset_by_proxy: Cell<bool>,
 }
 
 impl Link {
-    /// When the first byte of the request in hand was written, unless it was held on its way.
-    pub fn written(&self) -> Option<Instant> {
-        self.first_byte.get().filter(|_| !self.held.get())
+    /// Returns when the first byte of the current request was received, or `None` if the link was held since the
+    /// previous request.
+    pub fn first_byte_at(&self) -> Option<Instant> {
+        self.first_byte.get().filter(|_| !self.held_since_last_request.get())
     }
 
-    /// A request has been answered.
-    pub fn next_request(&self) {
+    /// Prepares the link for the next request once the current one has been answered.
+    pub fn prepare_next_request(&self) {
         self.first_byte.set(None);
-        self.held.set(false);
+        self.held_since_last_request.set(false);
     }
 
-    /// Whether nothing is carried on it now.
+    /// Returns true if the link carries no data at present.
     pub fn is_held(&self) -> bool {
-        match self.weather.get() {
-            (Weather::Fair, _) => false,
-            (Weather::OldHeld, since) => self.opened < since,
-            (Weather::AllHeld, _) => true,
+        match self.condition.get() {
+            (LinkCondition::Normal, _) => false,
+            (LinkCondition::OldLinksHeld, since) => self.opened_at < since,
+            (LinkCondition::AllLinksHeld, _) => true,
         }
     }
 
-    /// Waits until what was said on it can have come to the gateway, or that has closed it.
-    pub async fn until_delivered(&self) {
-        while self.is_held() && !self.until_closed(LOOK_EVERY).await {}
+    /// Waits until the server's response can be delivered to the gateway, or the gateway has closed the link.
+    pub async fn wait_until_delivered(&self) {
+        while self.is_held() && !self.wait_until_closed(POLL_INTERVAL).await {}
     }
 
-    /// Whether the network broke it, not the gateway.
+    /// Returns true if the proxy, not the gateway, reset the connection.
     pub fn was_reset(&self) -> bool {
-        self.reset.get()
+        self.reset_by_proxy.get()
     }
 
-    /// Whether the gateway has closed it.
+    /// Returns true if the connection has ended.
     pub fn is_closed(&self) -> bool {
         self.closed.get()
     }
@@ -82,11 +85,11 @@
         self.closing.notify_waiters();
     }
 
-    /// Waits so long, or until the gateway has closed the connection; whether it has.
-    pub async fn until_closed(&self, span: Duration) -> bool {
+    /// Waits until the connection has ended, for at most `max_wait`. Returns true if the connection has ended.
+    pub async fn wait_until_closed(&self, max_wait: Duration) -> bool {
         let closing = self.closing.notified();
         if !self.is_closed() {
-            let _ = tokio::time::timeout(span, closing).await;
+            let _ = tokio::time::timeout(max_wait, closing).await;
         }
         self.is_closed()
     }
@@ -95,46 +98,46 @@
 /// The proxy in front of one server.
 pub struct Proxy {
     pub address: SocketAddr,
-    weather: Rc<Cell<(Weather, Instant)>>,
-    /// Connections that came up before this are reset.
+    condition: Rc<Cell<(LinkCondition, Instant)>>,
+    /// Connections that were accepted before this time are reset.
     reset_before: Cell<Option<Instant>>,
     links: RefCell<Vec<std::rc::Weak<Link>>>,
 }
 
 impl Proxy {
-    /// Listens; hands each connection's far end to `serve`.
+    /// Starts to listen and passes the server's end of each connection to `serve`.
     pub async fn start(serve: impl Fn(DuplexStream, Rc<Link>) + 'static) -> Rc<Self> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port can be bound");
         let proxy = Rc::new(Self {
-            address: listener.local_addr().expect("an address"),
-            weather: Rc::new(Cell::new((Weather::Fair, Instant::now()))),
+            address: listener.local_addr().expect("the listener has a local address"),
+            condition: Rc::new(Cell::new((LinkCondition::Normal, Instant::now()))),
             reset_before: Cell::default(),
             links: RefCell::default(),
         });
-        let serving = proxy.clone();
+        let accepting_proxy = proxy.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let link = Rc::new(Link {
-                    opened: Instant::now(),
-                    weather: serving.weather.clone(),
+                    opened_at: Instant::now(),
+                    condition: accepting_proxy.condition.clone(),
                     first_byte: Cell::default(),
-                    held: Cell::default(),
+                    held_since_last_request: Cell::default(),
                     closed: Cell::default(),
                     closing: Notify::new(),
-                    reset: Cell::default(),
+                    reset_by_proxy: Cell::default(),
                 });
-                serving.links.borrow_mut().push(Rc::downgrade(&link));
-                let (near, far) = duplex(ROOM);
-                serve(far, link.clone());
-                spawn_local(serving.clone().carry(stream, near, link));
+                accepting_proxy.links.borrow_mut().push(Rc::downgrade(&link));
+                let (proxy_end, server_end) = duplex(BUFFER_BYTES);
+                serve(server_end, link.clone());
+                spawn_local(accepting_proxy.clone().forward(stream, proxy_end, link));
             }
         });
         proxy
     }
 
-    pub fn set(&self, weather: Weather) {
-        self.weather.set((weather, Instant::now()));
-        if weather != Weather::Fair {
+    pub fn set_condition(&self, condition: LinkCondition) {
+        self.condition.set((condition, Instant::now()));
+        if condition != LinkCondition::Normal {
             self.links.borrow_mut().retain(|link| link.strong_count() > 0);
         }
     }
@@ -144,66 +147,66 @@
     }
 
     fn is_reset(&self, link: &Link) -> bool {
-        self.reset_before.get().is_some_and(|at| link.opened < at)
+        self.reset_before.get().is_some_and(|reset_at| link.opened_at < reset_at)
     }
 
-    /// Carries one connection until either side ends it or it is reset.
-    async fn carry(self: Rc<Self>, stream: TcpStream, near: DuplexStream, link: Rc<Link>) {
+    /// Forwards the data of one connection until either side closes the connection or the proxy resets it.
+    async fn forward(self: Rc<Self>, stream: TcpStream, proxy_end: DuplexStream, link: Rc<Link>) {
         let stream = Rc::new(stream);
-        let (from_server, to_server) = split(near);
-        let up = self.clone().carry_up(stream.clone(), to_server, link.clone());
-        let down = self.clone().carry_down(stream.clone(), from_server, link.clone());
-        let reset = async {
+        let (from_server, to_server) = split(proxy_end);
+        let upstream = self.clone().forward_to_server(stream.clone(), to_server, link.clone());
+        let downstream = self.clone().forward_to_gateway(stream.clone(), from_server, link.clone());
+        let reset_watch = async {
             while !self.is_reset(&link) {
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
-            link.reset.set(true);
+            link.reset_by_proxy.set(true);
             let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
         };
         tokio::select! {
-            () = up => {}
-            () = down => {}
-            () = reset => {}
+            () = upstream => {}
+            () = downstream => {}
+            () = reset_watch => {}
         }
         link.close();
     }
 
-    /// Waits while the link is held; whether it can still be used then. One that the gateway has reset meanwhile has
-    /// nothing more to deliver.
-    async fn wait_until_open(&self, stream: &TcpStream, link: &Link) -> bool {
-        let mut held = false;
+    /// Waits while the link is held. Returns true if the link can be used afterwards: a link that the gateway
+    /// has reset meanwhile has no data left to deliver.
+    async fn wait_until_released(&self, stream: &TcpStream, link: &Link) -> bool {
+        let mut was_held = false;
         while link.is_held() {
-            held = true;
-            link.held.set(true);
-            let ready = stream.ready(Interest::READABLE);
-            if let Ok(Ok(ready)) = tokio::time::timeout(LOOK_EVERY, ready).await
+            was_held = true;
+            link.held_since_last_request.set(true);
+            let readiness = stream.ready(Interest::READABLE);
+            if let Ok(Ok(ready)) = tokio::time::timeout(POLL_INTERVAL, readiness).await
                 && ready.is_read_closed()
             {
                 link.close();
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        !held || matches!(stream.take_error(), Ok(None))
+        !was_held || matches!(stream.take_error(), Ok(None))
     }
 
-    async fn carry_up(
+    async fn forward_to_server(
         self: Rc<Self>,
         stream: Rc<TcpStream>,
-        mut to: WriteHalf<DuplexStream>,
+        mut server_sink: WriteHalf<DuplexStream>,
         link: Rc<Link>,
     ) {
-        let mut buffer = vec![0; ROOM];
+        let mut buffer = vec![0; BUFFER_BYTES];
         loop {
-            if stream.readable().await.is_err() || !self.wait_until_open(&stream, &link).await {
+            if stream.readable().await.is_err() || !self.wait_until_released(&stream, &link).await {
                 return;
             }
             match stream.try_read(&mut buffer) {
                 Ok(0) => return,
-                Ok(read) => {
+                Ok(byte_count) => {
                     if link.first_byte.get().is_none() {
                         link.first_byte.set(Some(Instant::now()));
                     }
-                    if to.write_all(&buffer[..read]).await.is_err() {
+                    if server_sink.write_all(&buffer[..byte_count]).await.is_err() {
                         return;
                     }
                 }
@@ -213,24 +216,24 @@
         }
     }
 
-    async fn carry_down(
+    async fn forward_to_gateway(
         self: Rc<Self>,
         stream: Rc<TcpStream>,
-        mut from: ReadHalf<DuplexStream>,
+        mut server_source: ReadHalf<DuplexStream>,
         link: Rc<Link>,
     ) {
-        let mut buffer = vec![0; ROOM];
-        while let Ok(read) = from.read(&mut buffer).await {
-            if read == 0 || !self.wait_until_open(&stream, &link).await {
+        let mut buffer = vec![0; BUFFER_BYTES];
+        while let Ok(byte_count) = server_source.read(&mut buffer).await {
+            if byte_count == 0 || !self.wait_until_released(&stream, &link).await {
                 return;
             }
-            let mut left = &buffer[..read];
-            while !left.is_empty() {
+            let mut remaining = &buffer[..byte_count];
+            while !remaining.is_empty() {
                 if stream.writable().await.is_err() {
                     return;
                 }
-                match stream.try_write(left) {
-                    Ok(written) => left = &left[written..],
+                match stream.try_write(remaining) {
+                    Ok(written_count) => remaining = &remaining[written_count..],
                     Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
                     Err(_) => return,
                 }
@@ -239,15 +242,15 @@
     }
 }
 
-/// Measures how late this process's own tasks run, for the judge.
+/// Measures how late this process's own tasks run, which the judge adds to its bounds.
 pub async fn measure_lateness(judge: Rc<RefCell<Judge>>) {
-    const STEP: Duration = Duration::from_millis(20);
+    const SLEEP_DURATION: Duration = Duration::from_millis(20);
     loop {
         let before = Instant::now();
-        tokio::time::sleep(STEP).await;
-        let late = before.elapsed().saturating_sub(STEP);
+        tokio::time::sleep(SLEEP_DURATION).await;
+        let oversleep = before.elapsed().saturating_sub(SLEEP_DURATION);
         let mut judge = judge.borrow_mut();
-        judge.lateness = judge.lateness.max(late);
+        judge.lateness = judge.lateness.max(oversleep);
         judge.check_open_requests();
     }
 }
--- a/tests/soak/scenario.rs
+++ b/tests/soak/scenario.rs
@@ -6,7 +6,7 @@
 use crate::gateways::{Faults, Gateway};
 use crate::judge::{Effect, Judge};
 use crate::loopback::ask;
-use crate::network::{Weather, measure_lateness};
+use crate::network::{LinkCondition, measure_lateness};
 use crate::servers::{Behaviour, Fleet, Server, States};
 use fastrand::Rng;
 use serde_json::{Value, json};
@@ -245,9 +245,11 @@
     async fn apply(&self, disruption: Disruption, duration: Duration, mut rng: Rng) {
         match disruption {
             Disruption::OldConnectionsSilent(server) => {
-                self.hold_links(server, Weather::OldHeld, duration).await
+                self.hold_links(server, LinkCondition::OldLinksHeld, duration).await
+            }
+            Disruption::ServerCutOff(server) => {
+                self.hold_links(server, LinkCondition::AllLinksHeld, duration).await
             }
-            Disruption::ServerCutOff(server) => self.hold_links(server, Weather::AllHeld, duration).await,
             Disruption::ConnectionsReset(server) => self.servers[server].proxy.reset(),
             Disruption::ServerMisbehaves(server, behaviour) => {
                 self.servers[server].behave(behaviour);
@@ -304,10 +306,10 @@
         }
     }
 
-    async fn hold_links(&self, server: usize, condition: Weather, duration: Duration) {
-        self.servers[server].proxy.set(condition);
+    async fn hold_links(&self, server: usize, condition: LinkCondition, duration: Duration) {
+        self.servers[server].proxy.set_condition(condition);
         tokio::time::sleep(duration).await;
-        self.servers[server].proxy.set(Weather::Fair);
+        self.servers[server].proxy.set_condition(LinkCondition::Normal);
     }
 
     /// Samples up to a sixth of the gateways, rounded up, from those that accept clients.
--- a/tests/soak/servers.rs
+++ b/tests/soak/servers.rs
@@ -95,7 +95,7 @@
             if self.answer(&mut stream, &request).await.is_none() {
                 return;
             }
-            self.link.next_request();
+            self.link.prepare_next_request();
         }
     }
 
@@ -111,12 +111,12 @@
         let id = request.headers.get("req-id").cloned().unwrap_or_default();
         let told = request.headers.get("req-deadline").and_then(|told| told.strip_suffix('m'));
         let told = Duration::from_millis(told.and_then(|told| told.parse().ok()).unwrap_or(0));
-        let first = self.link.written();
+        let first = self.link.first_byte_at();
         self.fleet.judge.borrow_mut().attempt_arrived(&id, self.number, !self.reads, first, told);
         let arrived = Arrived { line: self, id: &id };
         let held = !self.reads && self.take(&id);
         let answered = self.work(stream, &arrived, held).await;
-        self.link.until_delivered().await;
+        self.link.wait_until_delivered().await;
         // Said in full it is lost, too, where the network broke the connection before it was delivered.
         let lost = answered.is_none() && !self.link.is_closed() || self.link.was_reset();
         if lost && held {
@@ -147,20 +147,20 @@
             }
             Behaviour::Hangs => {
                 judge.borrow_mut().record_fault(arrived.id);
-                self.link.until_closed(Duration::from_secs(60)).await;
+                self.link.wait_until_closed(Duration::from_secs(60)).await;
                 self.give_back(arrived.id, held);
                 return None;
             }
             Behaviour::Breaks => {
                 judge.borrow_mut().record_fault(arrived.id);
-                self.link.until_closed(Duration::from_millis(draws.u64(0..40))).await;
+                self.link.wait_until_closed(Duration::from_millis(draws.u64(0..40))).await;
                 self.give_back(arrived.id, held);
                 return None;
             }
         }
         if self.reads {
             // A read that was given up leaves nothing.
-            if self.link.until_closed(Duration::from_millis(draws.u64(10..120))).await {
+            if self.link.wait_until_closed(Duration::from_millis(draws.u64(10..120))).await {
                 return None;
             }
             self.fleet.states.0.borrow_mut().insert(arrived.id.to_owned(), false);
@@ -174,7 +174,7 @@
             return say(stream, "HTTP/1.1 410 Gone\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n").await;
         }
         let queued = if draws.u8(0..6) == 0 { draws.u64(300..1200) } else { draws.u64(5..80) };
-        if self.link.until_closed(Duration::from_millis(queued)).await {
+        if self.link.wait_until_closed(Duration::from_millis(queued)).await {
             self.give_back(arrived.id, held);
             return None;
         }
@@ -193,10 +193,10 @@
             if matches!(self.behaviour.get(), Behaviour::Hangs | Behaviour::Breaks) {
                 self.fleet.judge.borrow_mut().record_fault(id);
                 let hangs = self.behaviour.get() == Behaviour::Hangs;
-                self.link.until_closed(Duration::from_secs(if hangs { 60 } else { 0 })).await;
+                self.link.wait_until_closed(Duration::from_secs(if hangs { 60 } else { 0 })).await;
                 return None;
             }
-            if self.link.until_closed(Duration::from_millis(25)).await {
+            if self.link.wait_until_closed(Duration::from_millis(25)).await {
                 return None;
             }
             if self.link.is_held() {
