--- a/tests/soak/discovery.rs
+++ b/tests/soak/discovery.rs
@@ -49,7 +49,7 @@
         let draining = self.draining.borrow();
         let target = |server: &Rc<Server>| {
             json!({"uid": server.uid(), "endpoint": server.proxy.address.to_string(), "az": "a",
-                "model": if server.reads { "reader" } else { "writer" }, "pod_group": 0,
+                "model": if server.is_reader { "reader" } else { "writer" }, "pod_group": 0,
                 "state": if draining[server.number] { "DRAINING" } else { "SERVING" },
                 "capacity_hint": 1.0, "boot_ms": server.boot_ms.get()})
         };
--- a/tests/soak/scenario.rs
+++ b/tests/soak/scenario.rs
@@ -7,7 +7,7 @@
 use crate::judge::{Effect, Judge};
 use crate::loopback::ask;
 use crate::network::{LinkCondition, measure_lateness};
-use crate::servers::{Behaviour, Fleet, Server, States};
+use crate::servers::{Behaviour, HeldStates, Server, SharedContext};
 use fastrand::Rng;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -47,7 +47,8 @@
 impl Disruption {
     fn sample(rng: &mut Rng) -> Self {
         let server = rng.usize(0..SERVER_COUNT);
-        let faulty_behaviours = [Behaviour::Errors, Behaviour::Declines, Behaviour::Hangs, Behaviour::Breaks];
+        let faulty_behaviours =
+            [Behaviour::AnswersErrors, Behaviour::Declines, Behaviour::Hangs, Behaviour::BreaksConnections];
         match rng.u8(0..15) {
             0 | 1 => Self::OldConnectionsSilent(server),
             2 => Self::ServerCutOff(server),
@@ -191,10 +192,10 @@
         judge: &Rc<RefCell<Judge>>,
         resume: bool,
     ) -> Environment {
-        let fleet = Fleet { judge: judge.clone(), states: Rc::<States>::default() };
+        let context = SharedContext { judge: judge.clone(), states: Rc::<HeldStates>::default() };
         let mut servers = Vec::new();
         for number in 0..SERVER_COUNT {
-            servers.push(Server::start(number, number < READER_COUNT, &fleet).await);
+            servers.push(Server::start(number, number < READER_COUNT, &context).await);
         }
         let discovery = Discovery::new(servers.clone(), judge.clone(), self.gateways);
         let mut gateways = Vec::new();
@@ -254,7 +255,7 @@
             Disruption::ServerMisbehaves(server, behaviour) => {
                 self.servers[server].behave(behaviour);
                 tokio::time::sleep(duration).await;
-                self.servers[server].behave(Behaviour::Well);
+                self.servers[server].behave(Behaviour::Normal);
             }
             Disruption::ServerDrains(server) => {
                 self.discovery.set_draining(server, true);
@@ -263,9 +264,9 @@
             }
             Disruption::ServerRestarts(server) => {
                 self.servers[server].proxy.reset();
-                self.servers[server].behave(Behaviour::Breaks);
+                self.servers[server].behave(Behaviour::BreaksConnections);
                 tokio::time::sleep(duration / 2).await;
-                self.servers[server].behave(Behaviour::Well);
+                self.servers[server].behave(Behaviour::Normal);
                 self.discovery.restarted(server);
             }
             Disruption::WatchesSilent => self.discovery.silence(),
--- a/tests/soak/servers.rs
+++ b/tests/soak/servers.rs
@@ -1,4 +1,5 @@
-//! Prefill and decode servers that hold states as the protocol says, and report what comes to them.
+//! Prefill and decode servers that hold states as the protocol defines, and report the attempts that they
+//! receive to the judge.
 
 use crate::judge::Judge;
 use crate::loopback::{Seen, message};
@@ -11,51 +12,59 @@
 use tokio::io::{AsyncWriteExt, BufReader, DuplexStream};
 use tokio::task::spawn_local;
 
-/// How a server behaves now.
+/// Present behaviour of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Behaviour {
     #[default]
-    Well,
-    /// Answers errors.
-    Errors,
-    /// Turns everything away.
+    Normal,
+    /// Answers every attempt with an internal error.
+    AnswersErrors,
+    /// Declines every attempt.
     Declines,
-    /// Begins what comes and answers nothing.
+    /// Accepts attempts and never answers.
     Hangs,
-    /// Breaks connections under requests that have begun.
-    Breaks,
+    /// Closes connections while attempts run on them.
+    BreaksConnections,
 }
 
-/// What the servers hold for requests: which is waited for by an attempt.
+/// The states that servers hold, by request id. The value is true while an attempt waits for the state.
 #[derive(Default)]
-pub struct States(RefCell<HashMap<String, bool>>);
+pub struct HeldStates(RefCell<HashMap<String, bool>>);
 
 /// One server behind its proxy.
 pub struct Server {
     pub number: usize,
-    pub reads: bool,
+    /// True for a prefill server, false for a decode server.
+    pub is_reader: bool,
     pub proxy: Rc<Proxy>,
     behaviour: Rc<Cell<Behaviour>>,
+    /// Start time of the server's process in ms since the Unix epoch, or 0 if the server was never restarted.
     pub boot_ms: Cell<u64>,
 }
 
-/// What all servers share.
+/// The judge and the states that all servers share.
 #[derive(Clone)]
-pub struct Fleet {
+pub struct SharedContext {
     pub judge: Rc<RefCell<Judge>>,
-    pub states: Rc<States>,
+    pub states: Rc<HeldStates>,
 }
 
 impl Server {
-    pub async fn start(number: usize, reads: bool, fleet: &Fleet) -> Rc<Self> {
+    pub async fn start(number: usize, is_reader: bool, context: &SharedContext) -> Rc<Self> {
         let behaviour = Rc::<Cell<Behaviour>>::default();
-        let (at, fleet) = (behaviour.clone(), fleet.clone());
+        let (shared_behaviour, context) = (behaviour.clone(), context.clone());
         let proxy = Proxy::start(move |stream, link| {
-            let line = Line { number, reads, behaviour: at.clone(), fleet: fleet.clone(), link };
-            spawn_local(line.serve(stream));
+            let connection = Connection {
+                number,
+                is_reader,
+                behaviour: shared_behaviour.clone(),
+                context: context.clone(),
+                link,
+            };
+            spawn_local(connection.serve(stream));
         })
         .await;
-        Rc::new(Self { number, reads, proxy, behaviour, boot_ms: Cell::new(0) })
+        Rc::new(Self { number, is_reader, proxy, behaviour, boot_ms: Cell::new(0) })
     }
 
     pub fn behave(&self, behaviour: Behaviour) {
@@ -68,27 +77,27 @@
 }
 
 /// One connection to a server.
-struct Line {
+struct Connection {
     number: usize,
-    reads: bool,
+    is_reader: bool,
     behaviour: Rc<Cell<Behaviour>>,
-    fleet: Fleet,
+    context: SharedContext,
     link: Rc<Link>,
 }
 
-/// An attempt that has arrived; it ends with this.
-struct Arrived<'a> {
-    line: &'a Line,
+/// Reports the end of an arrived attempt to the judge when dropped.
+struct AttemptGuard<'a> {
+    connection: &'a Connection,
     id: &'a str,
 }
 
-impl Drop for Arrived<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
-        self.line.fleet.judge.borrow_mut().attempt_ended(self.id);
+        self.connection.context.judge.borrow_mut().attempt_ended(self.id);
     }
 }
 
-impl Line {
+impl Connection {
     async fn serve(self, stream: DuplexStream) {
         let mut stream = BufReader::new(stream);
         while let Some(request) = message(&mut stream).await {
@@ -99,99 +108,111 @@
         }
     }
 
-    /// Answers one request; nothing if its connection is to end.
+    /// Answers one request. Returns `None` if the connection must end.
     async fn answer(&self, stream: &mut BufReader<DuplexStream>, request: &Seen) -> Option<()> {
         if let Some(id) = request.path.strip_prefix("/state/") {
             if self.behaviour.get() == Behaviour::Hangs {
                 return std::future::pending().await;
             }
-            self.release(id);
-            return say(stream, "HTTP/1.1 204 No Content\r\n\r\n").await;
+            self.release_state(id);
+            return send(stream, "HTTP/1.1 204 No Content\r\n\r\n").await;
         }
         let id = request.headers.get("req-id").cloned().unwrap_or_default();
-        let told = request.headers.get("req-deadline").and_then(|told| told.strip_suffix('m'));
-        let told = Duration::from_millis(told.and_then(|told| told.parse().ok()).unwrap_or(0));
-        let first = self.link.first_byte_at();
-        self.fleet.judge.borrow_mut().attempt_arrived(&id, self.number, !self.reads, first, told);
-        let arrived = Arrived { line: self, id: &id };
-        let held = !self.reads && self.take(&id);
-        let answered = self.work(stream, &arrived, held).await;
+        let deadline_ms = request.headers.get("req-deadline").and_then(|value| value.strip_suffix('m'));
+        let announced_time_left =
+            Duration::from_millis(deadline_ms.and_then(|value| value.parse().ok()).unwrap_or(0));
+        let first_byte_at = self.link.first_byte_at();
+        self.context.judge.borrow_mut().attempt_arrived(
+            &id,
+            self.number,
+            !self.is_reader,
+            first_byte_at,
+            announced_time_left,
+        );
+        let attempt = AttemptGuard { connection: self, id: &id };
+        let state_reserved = !self.is_reader && self.reserve_state(&id);
+        let answer_sent = self.run_attempt(stream, &attempt, state_reserved).await;
         self.link.wait_until_delivered().await;
-        // Said in full it is lost, too, where the network broke the connection before it was delivered.
-        let lost = answered.is_none() && !self.link.is_closed() || self.link.was_reset();
-        if lost && held {
-            self.fleet.judge.borrow_mut().record_fault(&id);
+        // A fully sent response is also lost if the proxy reset the connection before delivering it.
+        let response_lost = answer_sent.is_none() && !self.link.is_closed() || self.link.was_reset();
+        if response_lost && state_reserved {
+            self.context.judge.borrow_mut().record_fault(&id);
         }
-        answered
+        answer_sent
     }
 
-    async fn work(
+    async fn run_attempt(
         &self,
         stream: &mut BufReader<DuplexStream>,
-        arrived: &Arrived<'_>,
-        held: bool,
+        attempt: &AttemptGuard<'_>,
+        state_reserved: bool,
     ) -> Option<()> {
-        let mut draws = Rng::new();
-        let judge = &self.fleet.judge;
+        let mut rng = Rng::new();
+        let judge = &self.context.judge;
         match self.behaviour.get() {
-            Behaviour::Well => {}
-            Behaviour::Errors => {
-                self.give_back(arrived.id, held);
-                return say(stream, "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n").await;
+            Behaviour::Normal => {}
+            Behaviour::AnswersErrors => {
+                self.unreserve_state(attempt.id, state_reserved);
+                return send(stream, "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n").await;
             }
             Behaviour::Declines => {
-                judge.borrow_mut().attempt_declined(arrived.id, !self.reads);
-                self.give_back(arrived.id, held);
-                return say(stream, "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
+                judge.borrow_mut().attempt_declined(attempt.id, !self.is_reader);
+                self.unreserve_state(attempt.id, state_reserved);
+                return send(stream, "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
                     .await;
             }
             Behaviour::Hangs => {
-                judge.borrow_mut().record_fault(arrived.id);
+                judge.borrow_mut().record_fault(attempt.id);
                 self.link.wait_until_closed(Duration::from_secs(60)).await;
-                self.give_back(arrived.id, held);
+                self.unreserve_state(attempt.id, state_reserved);
                 return None;
             }
-            Behaviour::Breaks => {
-                judge.borrow_mut().record_fault(arrived.id);
-                self.link.wait_until_closed(Duration::from_millis(draws.u64(0..40))).await;
-                self.give_back(arrived.id, held);
+            Behaviour::BreaksConnections => {
+                judge.borrow_mut().record_fault(attempt.id);
+                self.link.wait_until_closed(Duration::from_millis(rng.u64(0..40))).await;
+                self.unreserve_state(attempt.id, state_reserved);
                 return None;
             }
         }
-        if self.reads {
-            // A read that was given up leaves nothing.
-            if self.link.wait_until_closed(Duration::from_millis(draws.u64(10..120))).await {
+        if self.is_reader {
+            // A prefill that the gateway abandoned leaves no state.
+            if self.link.wait_until_closed(Duration::from_millis(rng.u64(10..120))).await {
                 return None;
             }
-            self.fleet.states.0.borrow_mut().insert(arrived.id.to_owned(), false);
-            judge.borrow_mut().set_state_held(arrived.id, true);
+            self.context.states.0.borrow_mut().insert(attempt.id.to_owned(), false);
+            judge.borrow_mut().set_state_held(attempt.id, true);
             let body = "{\"cached_tokens\":0}";
-            let head = format!("HTTP/1.1 202 Accepted\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-            return say(stream, &head).await;
+            let response = format!("HTTP/1.1 202 Accepted\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            return send(stream, &response).await;
         }
-        if !held {
-            judge.borrow_mut().attempt_declined(arrived.id, true);
-            return say(stream, "HTTP/1.1 410 Gone\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n").await;
+        if !state_reserved {
+            judge.borrow_mut().attempt_declined(attempt.id, true);
+            return send(stream, "HTTP/1.1 410 Gone\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n").await;
         }
-        let queued = if draws.u8(0..6) == 0 { draws.u64(300..1200) } else { draws.u64(5..80) };
-        if self.link.wait_until_closed(Duration::from_millis(queued)).await {
-            self.give_back(arrived.id, held);
+        let queue_ms = if rng.u8(0..6) == 0 { rng.u64(300..1200) } else { rng.u64(5..80) };
+        if self.link.wait_until_closed(Duration::from_millis(queue_ms)).await {
+            self.unreserve_state(attempt.id, state_reserved);
             return None;
         }
-        self.fleet.states.0.borrow_mut().remove(arrived.id);
-        let events = if draws.u8(0..5) == 0 { draws.usize(80..160) } else { draws.usize(3..20) };
-        self.stream(stream, arrived.id, events).await
+        self.context.states.0.borrow_mut().remove(attempt.id);
+        let event_count = if rng.u8(0..5) == 0 { rng.usize(80..160) } else { rng.usize(3..20) };
+        self.stream_events(stream, attempt.id, event_count).await
     }
 
-    async fn stream(&self, stream: &mut BufReader<DuplexStream>, id: &str, events: usize) -> Option<()> {
-        const HEAD: &str =
+    async fn stream_events(
+        &self,
+        stream: &mut BufReader<DuplexStream>,
+        id: &str,
+        event_count: usize,
+    ) -> Option<()> {
+        const RESPONSE_HEAD: &str =
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         let chunk = |text: String| format!("{:x}\r\n{text}\r\n", text.len());
-        say(stream, HEAD).await?;
-        for n in 0..events {
-            say(stream, &chunk(format!("data: {{\"n\":{n}}}\n\n"))).await?;
-            if matches!(self.behaviour.get(), Behaviour::Hangs | Behaviour::Breaks) {
-                self.fleet.judge.borrow_mut().record_fault(id);
+        send(stream, RESPONSE_HEAD).await?;
+        for event_number in 0..event_count {
+            send(stream, &chunk(format!("data: {{\"n\":{event_number}}}\n\n"))).await?;
+            if matches!(self.behaviour.get(), Behaviour::Hangs | Behaviour::BreaksConnections) {
+                self.context.judge.borrow_mut().record_fault(id);
                 let hangs = self.behaviour.get() == Behaviour::Hangs;
                 self.link.wait_until_closed(Duration::from_secs(if hangs { 60 } else { 0 })).await;
                 return None;
@@ -200,41 +221,42 @@
                 return None;
             }
             if self.link.is_held() {
-                // Its gateway hears no more of it than of a server that hangs, and may end it.
-                self.fleet.judge.borrow_mut().record_fault(id);
+                // The gateway receives as little as from a server that hangs, and may end the attempt.
+                self.context.judge.borrow_mut().record_fault(id);
             }
         }
-        say(stream, &chunk("data: [DONE]\n\n".to_owned())).await?;
-        say(stream, "0\r\n\r\n").await
+        send(stream, &chunk("data: [DONE]\n\n".to_owned())).await?;
+        send(stream, "0\r\n\r\n").await
     }
 
-    /// Takes a state for an attempt that waits for it; whether there was one.
-    fn take(&self, id: &str) -> bool {
-        let mut states = self.fleet.states.0.borrow_mut();
+    /// Reserves the request's state for an attempt. Returns false if there is no state that no other attempt
+    /// waits for.
+    fn reserve_state(&self, id: &str) -> bool {
+        let mut states = self.context.states.0.borrow_mut();
         let Some(waited_for) = states.get_mut(id).filter(|waited_for| !**waited_for) else { return false };
         *waited_for = true;
-        self.fleet.judge.borrow_mut().set_state_held(id, false);
+        self.context.judge.borrow_mut().set_state_held(id, false);
         true
     }
 
-    /// The attempt that waited for a state has ended without it.
-    fn give_back(&self, id: &str, held: bool) {
-        if let Some(waited_for) = self.fleet.states.0.borrow_mut().get_mut(id).filter(|_| held) {
+    /// Clears the reservation of an attempt that ended without fetching the state.
+    fn unreserve_state(&self, id: &str, state_reserved: bool) {
+        if let Some(waited_for) = self.context.states.0.borrow_mut().get_mut(id).filter(|_| state_reserved) {
             *waited_for = false;
-            self.fleet.judge.borrow_mut().set_state_held(id, true);
+            self.context.judge.borrow_mut().set_state_held(id, true);
         }
     }
 
-    /// Lets go of a state that no attempt waits for.
-    fn release(&self, id: &str) {
-        let mut states = self.fleet.states.0.borrow_mut();
+    /// Releases a state that no attempt waits for.
+    fn release_state(&self, id: &str) {
+        let mut states = self.context.states.0.borrow_mut();
         if states.get(id) == Some(&false) {
             states.remove(id);
-            self.fleet.judge.borrow_mut().set_state_held(id, false);
+            self.context.judge.borrow_mut().set_state_held(id, false);
         }
     }
 }
 
-async fn say(stream: &mut BufReader<DuplexStream>, text: &str) -> Option<()> {
+async fn send(stream: &mut BufReader<DuplexStream>, text: &str) -> Option<()> {
     stream.write_all(text.as_bytes()).await.ok()
 }
