--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: usual ones, and such as leave early, write slowly, or stop in the middle of a request.
+//! Clients that send requests. Some of them leave early, write slowly or stop in the middle of a request.
 
 use crate::gateways::Gateway;
 use crate::judge::{Effect, Judge, Outcome};
@@ -11,160 +11,172 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// How much longer than its deadline a client waits before it says that there was no answer.
-const PATIENCE: Duration = Duration::from_millis(1_200);
+/// Time after its deadline for which a client waits before it reports that there was no answer.
+const NO_ANSWER_MARGIN: Duration = Duration::from_millis(1_200);
 
-/// Whether the gateway at that address is ready for clients.
+/// Returns true if the gateway at this address is ready for clients.
 pub async fn is_ready(address: SocketAddr) -> bool {
-    let asked = async {
+    let readiness_request = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").await.ok()?;
         let mut head = [0; 12];
         stream.read_exact(&mut head).await.ok()?;
         Some(head.ends_with(b"200"))
     };
-    tokio::time::timeout(Duration::from_secs(1), asked).await.ok().flatten().unwrap_or(false)
+    tokio::time::timeout(Duration::from_secs(1), readiness_request).await.ok().flatten().unwrap_or(false)
 }
 
-/// The classes of the days' settings.
+/// Request classes of the gateways' settings, with the effect of repeating a request.
 pub const CLASSES: [(&str, Effect); 3] = [
     ("lookup", Effect::Safe),
     ("correction", Effect::Unsafe),
     ("filing", Effect::Keyed(Duration::from_millis(1_500))),
 ];
 
-/// How a client goes about a request.
+/// Behaviour of a client during one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Manner {
-    Usual,
+enum ClientBehaviour {
+    Normal,
+    /// Closes the connection before the answer is complete.
     LeavesEarly,
+    /// Pauses in the middle of sending the request.
     WritesSlowly,
+    /// Never sends the rest of the request.
     StopsMidway,
 }
 
-/// What all clients share.
+/// State that all clients share.
 pub struct Traffic {
     pub gateways: Vec<Rc<Gateway>>,
     pub judge: Rc<RefCell<Judge>>,
-    pub over: Cell<bool>,
+    pub finished: Cell<bool>,
     pub next_id: Cell<u64>,
 }
 
-/// What came of one exchange.
+/// Result of one exchange.
 struct Exchange {
     outcome: Outcome,
-    /// Whether the connection can be used again.
-    keeps: bool,
+    /// True if the connection can be used for another request.
+    reusable: bool,
 }
 
 impl Traffic {
-    fn id(&self) -> String {
+    fn new_request_id(&self) -> String {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         format!("q{id:08x}")
     }
 
-    /// One client of one gateway, until the traffic is over.
-    pub async fn client(self: Rc<Self>, gateway: usize, seed: u64) {
-        let mut draws = Rng::with_seed(seed);
-        let mut kept: Option<TcpStream> = None;
-        while !self.over.get() {
-            tokio::time::sleep(Duration::from_millis(draws.u64(10..250))).await;
-            let to = &self.gateways[gateway];
-            if kept.is_none() && !to.admitted.get() {
+    /// Runs one client of one gateway until the traffic is over.
+    pub async fn run_client(self: Rc<Self>, gateway: usize, seed: u64) {
+        let mut rng = Rng::with_seed(seed);
+        let mut idle_connection: Option<TcpStream> = None;
+        while !self.finished.get() {
+            tokio::time::sleep(Duration::from_millis(rng.u64(10..250))).await;
+            let target = &self.gateways[gateway];
+            if idle_connection.is_none() && !target.admitted.get() {
                 continue;
             }
-            kept = self.request(to, kept.take(), &mut draws).await;
+            idle_connection = self.request(target, idle_connection.take(), &mut rng).await;
         }
     }
 
-    /// Makes one request, on the connection that was kept or a new one; gives the connection if it can be used again.
+    /// Sends one request on the idle connection or a new one. Returns the connection if it can be used again.
     async fn request(
         &self,
         gateway: &Gateway,
-        mut kept: Option<TcpStream>,
-        draws: &mut Rng,
+        mut idle_connection: Option<TcpStream>,
+        rng: &mut Rng,
     ) -> Option<TcpStream> {
-        let (id, (class, effect)) = (self.id(), CLASSES[draws.usize(0..CLASSES.len())]);
-        let deadline = Duration::from_millis(draws.u64(1_500..3_500));
-        let manner = match draws.u8(0..20) {
-            0 => Manner::LeavesEarly,
-            1 => Manner::WritesSlowly,
-            2 => Manner::StopsMidway,
-            _ => Manner::Usual,
+        let (id, (class, effect)) = (self.new_request_id(), CLASSES[rng.usize(0..CLASSES.len())]);
+        let deadline = Duration::from_millis(rng.u64(1_500..3_500));
+        let behaviour = match rng.u8(0..20) {
+            0 => ClientBehaviour::LeavesEarly,
+            1 => ClientBehaviour::WritesSlowly,
+            2 => ClientBehaviour::StopsMidway,
+            _ => ClientBehaviour::Normal,
         };
-        // A request that crosses the close of a connection that rested is sent once more on a new one.
+        // The gateway may close an idle connection while the client sends a request on it. The client then
+        // sends the request once more on a new connection.
         for _ in 0..2 {
-            let rested = kept.is_some();
-            let mut stream = match kept.take() {
+            let was_idle = idle_connection.is_some();
+            let mut stream = match idle_connection.take() {
                 Some(stream) => stream,
                 None => TcpStream::connect(gateway.address).await.ok()?,
             };
             self.judge.borrow_mut().request_sent(&id, gateway.number, effect, deadline);
-            let exchange = self.exchange(&mut stream, &id, class, deadline, manner, draws).await?;
-            let crossed = exchange.outcome == Outcome::Closed && rested;
-            if !crossed || self.judge.borrow().attempt_count(&id) > 0 {
+            let exchange = self.exchange(&mut stream, &id, class, deadline, behaviour, rng).await?;
+            let closed_on_idle_connection = exchange.outcome == Outcome::Closed && was_idle;
+            if !closed_on_idle_connection || self.judge.borrow().attempt_count(&id) > 0 {
                 self.judge.borrow_mut().request_answered(&id, exchange.outcome);
-                return exchange.keeps.then_some(stream);
+                return exchange.reusable.then_some(stream);
             }
         }
         None
     }
 
-    /// Nothing if no answer is owed.
+    /// Sends a request and reads the response. Returns `None` if the gateway owes no answer.
     async fn exchange(
         &self,
         stream: &mut TcpStream,
         id: &str,
         class: &str,
         deadline: Duration,
-        manner: Manner,
-        draws: &mut Rng,
+        behaviour: ClientBehaviour,
+        rng: &mut Rng,
     ) -> Option<Exchange> {
-        let closed = Exchange { outcome: Outcome::Closed, keeps: false };
-        let (millis, length) = (deadline.as_millis(), CHAT.len());
-        let text = format!(
+        let closed_exchange = Exchange { outcome: Outcome::Closed, reusable: false };
+        let (deadline_ms, body_length) = (deadline.as_millis(), CHAT.len());
+        let request_text = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\nReq-Owner: desk\r\n\
-             Req-Deadline: {millis}m\r\nReq-Extra: prompt_len=100,max_out=60\r\nContent-Length: {length}\r\n\r\n{CHAT}"
+             Req-Deadline: {deadline_ms}m\r\nReq-Extra: prompt_len=100,max_out=60\r\nContent-Length: {body_length}\r\n\r\n{CHAT}"
         );
-        let half = draws.usize(1..text.len());
-        let (first, rest) = if manner == Manner::Usual { (text.as_str(), "") } else { text.split_at(half) };
-        if stream.write_all(first.as_bytes()).await.is_err() {
-            return Some(closed);
+        let split_index = rng.usize(1..request_text.len());
+        let (first_part, second_part) = if behaviour == ClientBehaviour::Normal {
+            (request_text.as_str(), "")
+        } else {
+            request_text.split_at(split_index)
+        };
+        if stream.write_all(first_part.as_bytes()).await.is_err() {
+            return Some(closed_exchange);
         }
-        match manner {
-            Manner::StopsMidway => {
+        match behaviour {
+            ClientBehaviour::StopsMidway => {
                 let _ = tokio::time::timeout(Duration::from_secs(4), stream.read(&mut [0; 64])).await;
                 return None;
             }
-            Manner::WritesSlowly => tokio::time::sleep(Duration::from_millis(draws.u64(100..1_800))).await,
-            Manner::Usual | Manner::LeavesEarly => {}
+            ClientBehaviour::WritesSlowly => {
+                tokio::time::sleep(Duration::from_millis(rng.u64(100..1_800))).await
+            }
+            ClientBehaviour::Normal | ClientBehaviour::LeavesEarly => {}
         }
-        if stream.write_all(rest.as_bytes()).await.is_err() {
-            return Some(closed);
+        if stream.write_all(second_part.as_bytes()).await.is_err() {
+            return Some(closed_exchange);
         }
         self.judge.borrow_mut().request_fully_sent(id);
-        if manner == Manner::LeavesEarly {
-            let stays = Duration::from_millis(draws.u64(1..900));
-            let gone = tokio::time::timeout(stays, read_answer(stream)).await.is_err();
-            if gone {
+        if behaviour == ClientBehaviour::LeavesEarly {
+            let leave_after = Duration::from_millis(rng.u64(1..900));
+            let left_early = tokio::time::timeout(leave_after, read_answer(stream)).await.is_err();
+            if left_early {
                 self.judge.borrow_mut().client_left(id);
             }
-            // Dropped by the caller in the same turn.
+            // The caller drops the connection without yielding to another task.
             return None;
         }
-        let answer = tokio::time::timeout(deadline + PATIENCE, read_head(stream)).await;
-        let Ok(head) = answer else { return Some(Exchange { outcome: Outcome::NoAnswer, keeps: false }) };
-        let Some(head) = head else { return Some(closed) };
-        let keeps = !head.to_ascii_lowercase().contains("connection: close");
-        let whole = read_body(stream, &head).await;
-        let outcome = match (head.split(' ').nth(1), whole) {
+        let head_result = tokio::time::timeout(deadline + NO_ANSWER_MARGIN, read_head(stream)).await;
+        let Ok(head) = head_result else {
+            return Some(Exchange { outcome: Outcome::NoAnswer, reusable: false });
+        };
+        let Some(head) = head else { return Some(closed_exchange) };
+        let reusable = !head.to_ascii_lowercase().contains("connection: close");
+        let complete = read_body(stream, &head).await;
+        let outcome = match (head.split(' ').nth(1), complete) {
             (Some("200"), true) => Outcome::Served,
             (Some("200"), false) => Outcome::StreamCut,
             (Some("429" | "503"), _) => Outcome::Refused,
             _ => Outcome::Failed,
         };
-        Some(Exchange { outcome, keeps: keeps && whole })
+        Some(Exchange { outcome, reusable: reusable && complete })
     }
 }
 
@@ -182,7 +194,7 @@
     String::from_utf8(head).ok()
 }
 
-/// Reads a body; whether it came whole. A stream that stands still for too long has not.
+/// Reads a body. Returns true if the body is complete, and false if the stream ends or stalls earlier.
 async fn read_body(stream: &mut TcpStream, head: &str) -> bool {
     let head = head.to_ascii_lowercase();
     let length = head.split("content-length: ").nth(1).and_then(|rest| rest.split('\r').next()?.parse().ok());
@@ -191,7 +203,7 @@
         return stream.read_exact(&mut body).await.is_ok();
     }
     let mut tail = Vec::new();
-    let began = Instant::now();
+    let started_at = Instant::now();
     while !tail.ends_with(b"\r\n0\r\n\r\n") {
         let byte = tokio::time::timeout(Duration::from_secs(6), stream.read_u8()).await;
         let Ok(Ok(byte)) = byte else { return false };
@@ -199,7 +211,7 @@
         if tail.len() > 64 {
             tail.drain(..32);
         }
-        if began.elapsed() > Duration::from_secs(30) {
+        if started_at.elapsed() > Duration::from_secs(30) {
             return false;
         }
     }
--- a/tests/soak/scenario.rs
+++ b/tests/soak/scenario.rs
@@ -132,13 +132,13 @@
         let traffic = Rc::new(Traffic {
             gateways: environment.gateways.clone(),
             judge: judge.clone(),
-            over: Cell::new(false),
+            finished: Cell::new(false),
             next_id: Cell::new(1),
         });
         let mut clients = Vec::new();
         for gateway in 0..self.gateways {
             for _ in 0..CLIENTS_PER_GATEWAY {
-                clients.push(spawn_local(traffic.clone().client(gateway, rng.u64(..))));
+                clients.push(spawn_local(traffic.clone().run_client(gateway, rng.u64(..))));
             }
         }
         let disruptions = self.sample_disruptions(&mut rng);
@@ -162,7 +162,7 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
             environment.gateways.iter().for_each(|gateway| gateway.look());
         }
-        traffic.over.set(true);
+        traffic.finished.set(true);
         for task in disruption_tasks {
             task.await.expect("disruption task panicked");
         }
