--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -74,7 +74,7 @@
         while !self.finished.get() {
             tokio::time::sleep(Duration::from_millis(rng.u64(10..250))).await;
             let target = &self.gateways[gateway];
-            if idle_connection.is_none() && !target.admitted.get() {
+            if idle_connection.is_none() && !target.accepts_clients.get() {
                 continue;
             }
             idle_connection = self.request(target, idle_connection.take(), &mut rng).await;
--- a/tests/soak/discovery.rs
+++ b/tests/soak/discovery.rs
@@ -90,7 +90,7 @@
     }
 
     /// All that is listed counts as told to a gateway from now on, if it did not before.
-    pub fn told_all(&self, gateway: usize) {
+    pub fn record_listed_drains(&self, gateway: usize) {
         let now = Instant::now();
         let draining = self.draining.borrow();
         for (server, _) in draining.iter().enumerate().filter(|(_, drains)| **drains) {
@@ -99,7 +99,7 @@
     }
 
     /// An agent of one gateway at an address of its own.
-    pub async fn agent(self: &Rc<Self>, gateway: usize) -> SocketAddr {
+    pub async fn start_agent(self: &Rc<Self>, gateway: usize) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let discovery = self.clone();
@@ -140,7 +140,7 @@
             if stream.write_all(answer.as_bytes()).await.is_err() {
                 return;
             }
-            self.told_all(gateway);
+            self.record_listed_drains(gateway);
         }
     }
 }
--- a/tests/soak/gateways.rs
+++ b/tests/soak/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateway processes: started, signalled, killed, and started again.
+//! Starts, signals, kills and restarts the gateway processes.
 
 use crate::discovery::Discovery;
 use crate::judge::Judge;
@@ -11,174 +11,184 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A stop is followed by a kill after the longest deadline, counted as 3 s where it is longer, and a little more.
-const KILLED_AFTER: Duration = Duration::from_millis(3_000 + 700);
-const READY_WITHIN: Duration = Duration::from_secs(10);
+/// Time after the stop signal at which a process is killed: the longest request deadline, which counts as 3 s
+/// at most, plus 700 ms.
+const KILL_TIMEOUT: Duration = Duration::from_millis(3_000 + 700);
+/// Maximum time from the start of a process until the gateway is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Faults of the system calls of a process.
+/// System call faults of a gateway process. The default has none.
 #[derive(Clone, Debug, Default)]
-pub struct Faults {
+pub struct SyscallFaults {
     pub fault_library: Option<PathBuf>,
     pub seed: u64,
-    pub per_mille: u64,
-    pub step: (u64, i64),
-    pub files: bool,
+    /// Number of calls in a thousand that fail or are cut short.
+    pub failures_per_mille: u64,
+    /// When the wall clock is stepped, in ms after the first intercepted call, and by how many seconds.
+    pub clock_step: (u64, i64),
+    /// True if writes to files fail as well.
+    pub fail_file_writes: bool,
 }
 
-/// One gateway.
+/// One gateway, whose process may be restarted.
 pub struct Gateway {
     pub number: usize,
     pub address: SocketAddr,
     pub management: SocketAddr,
-    folder: tempfile::TempDir,
-    child: RefCell<Option<Child>>,
+    directory: tempfile::TempDir,
+    process: RefCell<Option<Child>>,
     config: RefCell<Value>,
-    faults: Faults,
+    faults: SyscallFaults,
     judge: Rc<RefCell<Judge>>,
     discovery: Rc<Discovery>,
-    /// Whether it takes clients as far as the front knows.
-    pub admitted: Cell<bool>,
-    /// Whether it is being restarted.
-    pub restarts: Cell<bool>,
-    /// How its processes were started, for the log's name.
-    starts: Cell<usize>,
+    /// True while new clients are sent to the gateway, as far as a load balancer in front of it would know.
+    pub accepts_clients: Cell<bool>,
+    /// True while the gateway is being restarted.
+    pub restarting: Cell<bool>,
+    /// Number of processes that were started, which is part of the name of the log file.
+    start_count: Cell<usize>,
 }
 
-/// An address of this run's own, with ports that the system gives to nobody by itself.
-fn own_address(gateway: usize, port: u16) -> SocketAddr {
-    let run = std::process::id() % 250;
-    SocketAddr::from(([127, 77, run as u8, gateway as u8 + 1], port))
+/// Returns a loopback address that only this run uses. The ports lie outside the range from which the system
+/// assigns ports.
+fn loopback_address(gateway: usize, port: u16) -> SocketAddr {
+    let run_octet = std::process::id() % 250;
+    SocketAddr::from(([127, 77, run_octet as u8, gateway as u8 + 1], port))
 }
 
 impl Gateway {
     pub fn new(
         number: usize,
         mut config: Value,
-        faults: Faults,
+        faults: SyscallFaults,
         judge: Rc<RefCell<Judge>>,
         discovery: Rc<Discovery>,
     ) -> Rc<Self> {
-        let (address, management) = (own_address(number, 9000), own_address(number, 9001));
+        let (address, management) = (loopback_address(number, 9000), loopback_address(number, 9001));
         config["name"] = json!(format!("n{number}"));
         config["listen"] = json!(address.to_string());
         config["management"] = json!(management.to_string());
-        let folder = tempfile::tempdir().expect("a folder");
+        let directory = tempfile::tempdir().expect("a temporary directory can be created");
         Rc::new(Self {
             number,
             address,
             management,
-            folder,
-            child: RefCell::default(),
+            directory,
+            process: RefCell::default(),
             config: RefCell::new(config),
             faults,
             judge,
             discovery,
-            admitted: Cell::new(false),
-            restarts: Cell::new(false),
-            starts: Cell::new(0),
+            accepts_clients: Cell::new(false),
+            restarting: Cell::new(false),
+            start_count: Cell::new(0),
         })
     }
 
     fn config_path(&self) -> PathBuf {
-        self.folder.path().join("config.json")
+        self.directory.path().join("config.json")
     }
 
     fn write_config(&self) {
-        let new = self.folder.path().join("config.json.new");
-        std::fs::write(&new, self.config.borrow().to_string()).expect("it can be written");
-        std::fs::rename(new, self.config_path()).expect("it can be replaced");
+        let new_path = self.directory.path().join("config.json.new");
+        std::fs::write(&new_path, self.config.borrow().to_string())
+            .expect("the configuration can be written");
+        std::fs::rename(new_path, self.config_path()).expect("the configuration can be replaced");
     }
 
-    /// Starts the program; ready once it says so.
+    /// Starts the process and waits until the gateway reports that it is ready.
     pub async fn start(&self, logs: &Path) {
         self.config.borrow_mut()["known"] = self.discovery.list();
         self.write_config();
-        let log = format!("n{}-{}.log", self.number, self.starts.replace(self.starts.get() + 1));
-        let log = std::fs::File::create(logs.join(log)).expect("a log");
+        let log = format!("n{}-{}.log", self.number, self.start_count.replace(self.start_count.get() + 1));
+        let log = std::fs::File::create(logs.join(log)).expect("the log file can be created");
         let mut command = Command::new(env!("CARGO_BIN_EXE_meadowlug"));
-        command.env("BALANCER_CONFIG", self.config_path()).env("TMPDIR", self.folder.path());
+        command.env("BALANCER_CONFIG", self.config_path()).env("TMPDIR", self.directory.path());
         command.env("MEADOWLUG_LOG", "debug").stderr(log).stdin(Stdio::null());
         if let Some(fault_library) = &self.faults.fault_library {
-            let (after_ms, seconds) = self.faults.step;
+            let (step_after_ms, step_s) = self.faults.clock_step;
             command.env("LD_PRELOAD", fault_library).env("FAULT_SEED", self.faults.seed.to_string());
-            command.env("FAULT_PER_MILLE", self.faults.per_mille.to_string());
-            command.env("FAULT_STEP_AFTER_MS", after_ms.to_string());
-            command.env("FAULT_STEP_S", seconds.to_string());
-            command.env("FAULT_FILES", if self.faults.files { "1" } else { "0" });
+            command.env("FAULT_PER_MILLE", self.faults.failures_per_mille.to_string());
+            command.env("FAULT_STEP_AFTER_MS", step_after_ms.to_string());
+            command.env("FAULT_STEP_S", step_s.to_string());
+            command.env("FAULT_FILES", if self.faults.fail_file_writes { "1" } else { "0" });
         }
-        self.child.replace(Some(command.spawn().expect("it starts")));
+        self.process.replace(Some(command.spawn().expect("the gateway process can be spawned")));
         self.judge.borrow_mut().gateway_started(self.number);
-        self.discovery.told_all(self.number);
-        let began = Instant::now();
+        self.discovery.record_listed_drains(self.number);
+        let started_at = Instant::now();
         while !crate::clients::is_ready(self.address).await {
-            if began.elapsed() > READY_WITHIN {
+            if started_at.elapsed() > READY_TIMEOUT {
                 self.judge.borrow_mut().gateway_crashed(self.number, "not ready in time");
                 return;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        self.admitted.set(true);
-        self.restarts.set(false);
+        self.accepts_clients.set(true);
+        self.restarting.set(false);
     }
 
     fn signal(&self, signal: Signal) {
-        if let Some(pid) = self.child.borrow().as_ref().and_then(|child| Pid::from_raw(child.id() as i32)) {
+        if let Some(pid) =
+            self.process.borrow().as_ref().and_then(|process| Pid::from_raw(process.id() as i32))
+        {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Whether the process has ended, and how.
-    fn has_ended(&self) -> Option<String> {
-        let mut child = self.child.borrow_mut();
-        let status = child.as_mut()?.try_wait().expect("its state")?;
+    /// Returns the exit status if the process has ended.
+    fn exit_status(&self) -> Option<String> {
+        let mut process = self.process.borrow_mut();
+        let status = process.as_mut()?.try_wait().expect("the exit status can be read")?;
         Some(status.to_string())
     }
 
-    /// Notes a process that ended though nobody asked it to.
-    pub fn look(&self) {
-        if self.admitted.get()
-            && !self.restarts.get()
-            && let Some(how) = self.has_ended()
+    /// Reports a process that ended without having been stopped or killed.
+    pub fn check_exit(&self) {
+        if self.accepts_clients.get()
+            && !self.restarting.get()
+            && let Some(status) = self.exit_status()
         {
-            self.admitted.set(false);
-            self.judge.borrow_mut().gateway_crashed(self.number, &how);
+            self.accepts_clients.set(false);
+            self.judge.borrow_mut().gateway_crashed(self.number, &status);
         }
     }
 
     pub fn kill(&self) {
-        self.admitted.set(false);
-        if let Some(mut child) = self.child.take() {
-            let running = child.try_wait().expect("its state").is_none();
-            let _ = child.kill();
-            let _ = child.wait();
+        self.accepts_clients.set(false);
+        if let Some(mut process) = self.process.take() {
+            let running = process.try_wait().expect("the exit status can be read").is_none();
+            let _ = process.kill();
+            let _ = process.wait();
             if running {
                 self.judge.borrow_mut().gateway_killed(self.number);
             }
         }
     }
 
-    /// Asks it to stop; new clients come for a moment longer. It is killed when its time is over.
+    /// Sends the stop signal; clients still connect for 300 ms. Kills the process if it runs longer than
+    /// `KILL_TIMEOUT`.
     pub async fn stop(&self) {
         self.judge.borrow_mut().gateway_stopping(self.number);
         self.signal(Signal::TERM);
-        let asked = Instant::now();
+        let stop_requested_at = Instant::now();
         tokio::time::sleep(Duration::from_millis(300)).await;
-        self.admitted.set(false);
-        while asked.elapsed() < KILLED_AFTER && self.has_ended().is_none() {
+        self.accepts_clients.set(false);
+        while stop_requested_at.elapsed() < KILL_TIMEOUT && self.exit_status().is_none() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         self.kill();
     }
 
-    /// Has it read a configuration again that names another agent.
+    /// Makes the process reload a configuration that names another discovery agent.
     pub async fn reload(&self) {
-        let agent = self.discovery.agent(self.number).await;
+        let agent = self.discovery.start_agent(self.number).await;
         self.config.borrow_mut()["discovery"] = json!(agent.to_string());
         self.write_config();
         self.signal(Signal::HUP);
     }
 
-    /// Holds the process up for a moment.
+    /// Suspends the process for 150 ms.
     pub async fn pause(&self) {
         self.signal(Signal::STOP);
         tokio::time::sleep(Duration::from_millis(150)).await;
--- a/tests/soak/scenario.rs
+++ b/tests/soak/scenario.rs
@@ -3,7 +3,7 @@
 
 use crate::clients::{CLASSES, Traffic};
 use crate::discovery::Discovery;
-use crate::gateways::{Faults, Gateway};
+use crate::gateways::{Gateway, SyscallFaults};
 use crate::judge::{Effect, Judge};
 use crate::loopback::ask;
 use crate::network::{LinkCondition, measure_lateness};
@@ -160,7 +160,7 @@
             .collect();
         for _ in 0..self.seconds * 20 {
             tokio::time::sleep(Duration::from_millis(50)).await;
-            environment.gateways.iter().for_each(|gateway| gateway.look());
+            environment.gateways.iter().for_each(|gateway| gateway.check_exit());
         }
         traffic.finished.set(true);
         for task in disruption_tasks {
@@ -200,7 +200,7 @@
         let discovery = Discovery::new(servers.clone(), judge.clone(), self.gateways);
         let mut gateways = Vec::new();
         for number in 0..self.gateways {
-            let agent = discovery.agent(number).await;
+            let agent = discovery.start_agent(number).await;
             let config = json!({"discovery": agent.to_string(), "seed": format!("{:x}", rng.u64(..)),
                 "limits": {"memory_mb": 64, "sockets": 256}, "settings": self.gateway_settings(resume)});
             let faults = self.sample_faults(number, rng);
@@ -218,15 +218,21 @@
 
     /// Samples the system call faults of a gateway. One gateway in three has failing system calls; the wall
     /// clock of some of those is stepped.
-    fn sample_faults(&self, number: usize, rng: &mut Rng) -> Faults {
-        let steps = [0, 3, -3, 3_600, -3_600];
-        let step = (rng.u64(1_000..5_000), steps[rng.usize(0..steps.len())]);
+    fn sample_faults(&self, number: usize, rng: &mut Rng) -> SyscallFaults {
+        let clock_steps_s = [0, 3, -3, 3_600, -3_600];
+        let clock_step = (rng.u64(1_000..5_000), clock_steps_s[rng.usize(0..clock_steps_s.len())]);
         let seed = rng.u64(..);
         if !number.is_multiple_of(3) {
-            return Faults::default();
+            return SyscallFaults::default();
+        }
+        let failures_per_mille = [2, 10, 30][rng.usize(0..3)];
+        SyscallFaults {
+            fault_library: Some(self.fault_library.clone()),
+            seed,
+            failures_per_mille,
+            clock_step,
+            fail_file_writes: rng.bool(),
         }
-        let per_mille = [2, 10, 30][rng.usize(0..3)];
-        Faults { fault_library: Some(self.fault_library.clone()), seed, per_mille, step, files: rng.bool() }
     }
 
     /// Samples the start time in ms, the kind and the duration in ms of each disruption. Two or three overlap
@@ -278,7 +284,7 @@
             Disruption::GatewaysStop => {
                 for gateway in self.sample_gateways(&mut rng) {
                     let logs = self.logs.clone();
-                    gateway.restarts.set(true);
+                    gateway.restarting.set(true);
                     spawn_local(async move {
                         gateway.stop().await;
                         gateway.start(&logs).await;
@@ -288,7 +294,7 @@
             }
             Disruption::GatewaysKilled => {
                 for gateway in self.sample_gateways(&mut rng) {
-                    gateway.restarts.set(true);
+                    gateway.restarting.set(true);
                     gateway.kill();
                     let logs = self.logs.clone();
                     spawn_local(async move { gateway.start(&logs).await });
@@ -315,8 +321,12 @@
 
     /// Samples up to a sixth of the gateways, rounded up, from those that accept clients.
     fn sample_gateways(&self, rng: &mut Rng) -> Vec<Rc<Gateway>> {
-        let mut available: Vec<_> =
-            self.gateways.iter().filter(|g| g.admitted.get() && !g.restarts.get()).cloned().collect();
+        let mut available: Vec<_> = self
+            .gateways
+            .iter()
+            .filter(|g| g.accepts_clients.get() && !g.restarting.get())
+            .cloned()
+            .collect();
         rng.shuffle(&mut available);
         available.truncate(self.gateways.len().div_ceil(6));
         available
@@ -325,7 +335,7 @@
     /// Checks the metrics of the gateways: no invariant may have been violated and no request may still be in
     /// progress.
     async fn check_metrics(&self) {
-        for gateway in self.gateways.iter().filter(|gateway| gateway.admitted.get()) {
+        for gateway in self.gateways.iter().filter(|gateway| gateway.accepts_clients.get()) {
             let stats_request = ask(gateway.management, "GET", "/ops/stats", &[], "");
             let Ok(stats) = tokio::time::timeout(Duration::from_secs(2), stats_request).await else {
                 self.judge.borrow_mut().gateway_crashed(gateway.number, "no metrics in time");
