--- a/tests/soak/discovery.rs
+++ b/tests/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! The agents that tell each gateway of the servers, all from one list.
+//! Discovery agents that report the same list of servers to each gateway.
 
 use crate::judge::Judge;
 use crate::loopback::message;
@@ -13,35 +13,35 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// When what a silent watch misses counts as told.
-const TOLD_AFTER_SILENCE: Duration = Duration::from_secs(6);
+/// Time after which a gateway must know of a change although its watch was silent.
+const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
 
-/// The list, and how discovery behaves.
+/// The list of servers and the present state of discovery.
 pub struct Discovery {
     servers: Vec<Rc<Server>>,
-    /// Which servers drain.
+    /// True for each server that drains, by the server's number.
     draining: RefCell<Vec<bool>>,
     revision: Cell<u64>,
-    news: Notify,
-    /// Watches that were opened before this are silent.
-    silent_before: Cell<Option<Instant>>,
-    down: Cell<bool>,
+    list_changed: Notify,
+    /// Watches that were opened before this time are silent.
+    silenced_at: Cell<Option<Instant>>,
+    unavailable: Cell<bool>,
     judge: Rc<RefCell<Judge>>,
-    gateways: usize,
+    gateway_count: usize,
 }
 
 impl Discovery {
-    pub fn new(servers: Vec<Rc<Server>>, judge: Rc<RefCell<Judge>>, gateways: usize) -> Rc<Self> {
+    pub fn new(servers: Vec<Rc<Server>>, judge: Rc<RefCell<Judge>>, gateway_count: usize) -> Rc<Self> {
         let draining = RefCell::new(vec![false; servers.len()]);
         Rc::new(Self {
             servers,
             draining,
             revision: Cell::new(1),
-            news: Notify::new(),
-            silent_before: Cell::default(),
-            down: Cell::default(),
+            list_changed: Notify::new(),
+            silenced_at: Cell::default(),
+            unavailable: Cell::default(),
             judge,
-            gateways,
+            gateway_count,
         })
     }
 
@@ -61,35 +61,35 @@
     pub fn set_draining(&self, server: usize, drains: bool) {
         self.draining.borrow_mut()[server] = drains;
         self.revision.set(self.revision.get() + 1);
-        // Told at the latest then, whether or not a watch hears of it.
-        let late = Instant::now() + TOLD_AFTER_SILENCE;
-        for gateway in 0..self.gateways {
-            let at = if drains { late } else { Instant::now() };
-            self.judge.borrow_mut().drain_changed(gateway, server, drains, at);
+        // Latest time at which a gateway knows of a drain, even if its watch does not report the change.
+        let latest_known_at = Instant::now() + MAX_UPDATE_DELAY;
+        for gateway in 0..self.gateway_count {
+            let known_at = if drains { latest_known_at } else { Instant::now() };
+            self.judge.borrow_mut().drain_changed(gateway, server, drains, known_at);
         }
-        self.news.notify_waiters();
+        self.list_changed.notify_waiters();
     }
 
-    /// A server's process has started anew just now.
-    pub fn restarted(&self, server: usize) {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
-        self.servers[server].boot_ms.set(unix.as_millis() as u64);
+    /// Lists a server's process as started just now.
+    pub fn server_restarted(&self, server: usize) {
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).expect("the system time is after 1970");
+        self.servers[server].boot_ms.set(unix_time.as_millis() as u64);
         self.revision.set(self.revision.get() + 1);
-        self.news.notify_waiters();
+        self.list_changed.notify_waiters();
     }
 
-    /// Has all open watches fall silent.
-    pub fn silence(&self) {
-        self.silent_before.set(Some(Instant::now()));
+    /// Makes all open watches silent.
+    pub fn silence_watches(&self) {
+        self.silenced_at.set(Some(Instant::now()));
     }
 
-    /// Goes down, or comes back.
-    pub fn set_down(&self, down: bool) {
-        self.down.set(down);
-        self.news.notify_waiters();
+    /// Makes discovery unavailable or available again.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.unavailable.set(unavailable);
+        self.list_changed.notify_waiters();
     }
 
-    /// All that is listed counts as told to a gateway from now on, if it did not before.
+    /// Records for the judge that a gateway knows by now of all drains in the list.
     pub fn record_listed_drains(&self, gateway: usize) {
         let now = Instant::now();
         let draining = self.draining.borrow();
@@ -98,10 +98,10 @@
         }
     }
 
-    /// An agent of one gateway at an address of its own.
+    /// Starts an agent for one gateway and returns the agent's address.
     pub async fn start_agent(self: &Rc<Self>, gateway: usize) -> SocketAddr {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port can be bound");
+        let address = listener.local_addr().expect("the listener has a local address");
         let discovery = self.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -111,33 +111,35 @@
         address
     }
 
+    /// Answers the long polls of one connection. A connection that was silenced is kept open without an answer.
     async fn watch(self: Rc<Self>, gateway: usize, mut stream: TcpStream) {
-        let opened = Instant::now();
-        let silent = || self.silent_before.get().is_some_and(|at| opened < at);
+        let opened_at = Instant::now();
+        let is_silenced = || self.silenced_at.get().is_some_and(|silenced_at| opened_at < silenced_at);
         while let Some(request) = message(&mut stream).await {
-            if silent() || self.down.get() {
+            if is_silenced() || self.unavailable.get() {
                 return std::future::pending().await;
             }
-            let number = |name: &str| {
+            let query_number = |name: &str| {
                 let value = request.path.split_once(name).and_then(|(_, rest)| rest.split('&').next());
                 value.and_then(|value| value.parse::<u64>().ok()).unwrap_or(0)
             };
-            let end = Instant::now() + Duration::from_millis(number("wait="));
-            while self.revision.get() <= number("index=") && Instant::now() < end {
-                let news = tokio::time::timeout(Duration::from_millis(50), self.news.notified());
-                let _ = news.await;
+            let poll_deadline = Instant::now() + Duration::from_millis(query_number("wait="));
+            while self.revision.get() <= query_number("index=") && Instant::now() < poll_deadline {
+                let list_change =
+                    tokio::time::timeout(Duration::from_millis(50), self.list_changed.notified());
+                let _ = list_change.await;
             }
-            if silent() || self.down.get() {
+            if is_silenced() || self.unavailable.get() {
                 return std::future::pending().await;
             }
-            let list = if self.revision.get() > number("index=") {
+            let list = if self.revision.get() > query_number("index=") {
                 self.list()
             } else {
                 json!({"rev": self.revision.get(), "all": false, "targets": []})
             };
             let body = list.to_string();
-            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-            if stream.write_all(answer.as_bytes()).await.is_err() {
+            let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            if stream.write_all(response.as_bytes()).await.is_err() {
                 return;
             }
             self.record_listed_drains(gateway);
--- a/tests/soak/scenario.rs
+++ b/tests/soak/scenario.rs
@@ -273,13 +273,13 @@
                 self.servers[server].behave(Behaviour::BreaksConnections);
                 tokio::time::sleep(duration / 2).await;
                 self.servers[server].behave(Behaviour::Normal);
-                self.discovery.restarted(server);
+                self.discovery.server_restarted(server);
             }
-            Disruption::WatchesSilent => self.discovery.silence(),
+            Disruption::WatchesSilent => self.discovery.silence_watches(),
             Disruption::DiscoveryDown => {
-                self.discovery.set_down(true);
+                self.discovery.set_unavailable(true);
                 tokio::time::sleep(duration).await;
-                self.discovery.set_down(false);
+                self.discovery.set_unavailable(false);
             }
             Disruption::GatewaysStop => {
                 for gateway in self.sample_gateways(&mut rng) {
