--- a/tests/soak/discovery.rs
+++ b/tests/soak/discovery.rs
@@ -111,7 +111,7 @@
         address
     }
 
-    /// Answers the long polls of one connection. A connection that was silenced is kept open without an answer.
+    /// Answers the long polls of one connection. A silenced connection stays open without an answer.
     async fn watch(self: Rc<Self>, gateway: usize, mut stream: TcpStream) {
         let opened_at = Instant::now();
         let is_silenced = || self.silenced_at.get().is_some_and(|silenced_at| opened_at < silenced_at);
--- a/tests/soak/judge.rs
+++ b/tests/soak/judge.rs
@@ -163,8 +163,8 @@
         let (runs, attempts, hit_by_fault) =
             (request.run_times.len(), request.attempt_count, request.hit_by_fault);
         let refusal_untrue = request.effect == Effect::Unsafe && runs > 0;
-        // The client repeats requests that a killed gateway had accepted, so these may go unanswered. Requests
-        // sent late in a planned stop may not: the gateway must no longer accept them.
+        // The client repeats requests that a killed gateway had accepted, so they may go unanswered. Requests
+        // sent late in a planned stop may not, because the gateway must no longer accept them.
         let stop_time = self.stop_times.get(&gateway).copied();
         let sent_late_in_stop = stop_time
             .is_some_and(|stopped_at| stopped_at <= sent_at && sent_at > stopped_at + STOP_GRACE + slack);
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,6 +1,6 @@
-//! Soak test over a few dozen real gateway processes on loopback, with real sockets, a proxy before each server,
-//! signals and failing system calls. Overlapping disruptions are sampled from a seed; the judge checks invariants
-//! over the events that clients and servers observed.
+//! Soak test over a few dozen real gateway processes on loopback, with real sockets, a proxy before each
+//! server, signals and failing system calls. Overlapping disruptions are sampled from a seed. The judge
+//! checks invariants over the events that clients and servers observed.
 //!
 //! `SOAK_SEEDS` is a list of seeds or a range `FROM..TO`. `SOAK_GATEWAYS` is the number of gateway processes.
 //! `SOAK_SECONDS` is the duration of each seed. `SOAK_LOGS` is a directory for the logs of the processes; the
@@ -35,8 +35,8 @@
         .collect()
 }
 
-/// Builds the library that makes system calls fail. Uses a target directory separate from that of the build that
-/// runs this test.
+/// Builds the library that makes system calls fail. Uses a target directory separate from that of the build
+/// that runs this test.
 fn build_fault_library() -> PathBuf {
     let target = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("fault-shim");
     let mut cargo_build = std::process::Command::new(env!("CARGO"));
--- a/tests/soak/network.rs
+++ b/tests/soak/network.rs
@@ -44,8 +44,8 @@
 }
 
 impl Link {
-    /// Returns when the first byte of the current request was received, or `None` if the link was held since the
-    /// previous request.
+    /// Returns when the first byte of the current request was received, or `None` if the link was held since
+    /// the previous request.
     pub fn first_byte_at(&self) -> Option<Instant> {
         self.first_byte.get().filter(|_| !self.held_since_last_request.get())
     }
@@ -85,7 +85,7 @@
         self.closing.notify_waiters();
     }
 
-    /// Waits until the connection has ended, for at most `max_wait`. Returns true if the connection has ended.
+    /// Waits at most `max_wait` until the connection has ended. Returns true if the connection has ended.
     pub async fn wait_until_closed(&self, max_wait: Duration) -> bool {
         let closing = self.closing.notified();
         if !self.is_closed() {
