--- a/tests/soak/discovery.rs
+++ b/tests/soak/discovery.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// Time after which a gateway must know of a change although its watch was silent.
+/// Time after which a gateway counts as informed of a change that a silent watch did not report.
 const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
 
 /// The list of servers and the present state of discovery.
--- a/tests/soak/judge.rs
+++ b/tests/soak/judge.rs
@@ -3,6 +3,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
+// The graces below are those of the protocol that the gateway must keep to.
+
 /// Time after a gateway learns that a server drains in which requests may still be sent to the server.
 const DRAIN_GRACE: Duration = Duration::from_millis(300);
 /// Time after a client has left in which an attempt of its request may still arrive at a server.
