--- a/tests/fault-shim/src/lib.rs
+++ b/tests/fault-shim/src/lib.rs
@@ -1,8 +1,8 @@
 //! A preloaded library that makes system calls of a process under test fail in the ways that Linux documents.
 //!
 //! Each exported function replaces the C library's function of the same name and makes the system call
-//! itself. The failing calls are sampled from a seed. The environment variables below set how often calls fail
-//! and how the wall clock is stepped.
+//! itself. The failing calls are sampled from a seed. The environment variables below set how often calls
+//! fail and how the wall clock is stepped.
 //!
 //! | variable | meaning |
 //! | --- | --- |
