--- a/tests/soak/judge.rs
+++ b/tests/soak/judge.rs
@@ -15,8 +15,8 @@
 const DEADLINE_HEADER_GRACE: Duration = Duration::from_millis(150);
 /// Maximum time that a server may hold a state that no attempt waits for: `letGoByMs` and a grace of 300 ms.
 const MAX_STATE_HOLD: Duration = Duration::from_millis(300 + 300);
-/// Time after the start of a planned stop from which the gateway must answer each request that it accepts.
-/// Only requests that were sent earlier may go unanswered when the gateway is killed.
+/// Time after the start of a planned stop in which requests may be sent that go unanswered when the gateway is
+/// killed. Requests that are sent later must not go unanswered.
 const STOP_GRACE: Duration = Duration::from_millis(700);
 /// Allowance for late tasks of this process, in addition to the lateness that it measures.
 const SCHEDULING_SLACK: Duration = Duration::from_millis(120);
@@ -26,7 +26,7 @@
 pub enum Effect {
     Safe,
     Unsafe,
-    /// Repeats are recognised by their idempotency key for this long.
+    /// Repeats of the same request are recognised for this long after its first run.
     Keyed(Duration),
 }
 
@@ -166,10 +166,11 @@
             (request.run_times.len(), request.attempt_count, request.hit_by_fault);
         let refusal_untrue = request.effect == Effect::Unsafe && runs > 0;
         // The client repeats requests that a killed gateway had accepted, so they may go unanswered. Requests
-        // sent late in a planned stop may not, because the gateway must no longer accept them.
+        // that were sent late in a planned stop are not excused.
         let stop_time = self.stop_times.get(&gateway).copied();
-        let sent_late_in_stop = stop_time
-            .is_some_and(|stopped_at| stopped_at <= sent_at && sent_at > stopped_at + STOP_GRACE + slack);
+        let sent_late_in_stop = stop_time.is_some_and(|stop_began_at| {
+            stop_began_at <= sent_at && sent_at > stop_began_at + STOP_GRACE + slack
+        });
         let excused_by_kill = self.was_killed(gateway, sent_at) && !sent_late_in_stop;
         match outcome {
             Outcome::Refused if refusal_untrue => {
