--- a/tests/soak/judge.rs
+++ b/tests/soak/judge.rs
@@ -15,8 +15,8 @@
 const DEADLINE_HEADER_GRACE: Duration = Duration::from_millis(150);
 /// Maximum time that a server may hold a state that no attempt waits for: `letGoByMs` and a grace of 300 ms.
 const MAX_STATE_HOLD: Duration = Duration::from_millis(300 + 300);
-/// Time after the start of a planned stop in which requests may be sent that go unanswered when the gateway is
-/// killed. Requests that are sent later must not go unanswered.
+/// Time after the start of a planned stop in which a client may send a request that goes unanswered when the
+/// gateway is killed. Requests that are sent later must not go unanswered.
 const STOP_GRACE: Duration = Duration::from_millis(700);
 /// Allowance for late tasks of this process, in addition to the lateness that it measures.
 const SCHEDULING_SLACK: Duration = Duration::from_millis(120);
@@ -168,9 +168,8 @@
         // The client repeats requests that a killed gateway had accepted, so they may go unanswered. Requests
         // that were sent late in a planned stop are not excused.
         let stop_time = self.stop_times.get(&gateway).copied();
-        let sent_late_in_stop = stop_time.is_some_and(|stop_began_at| {
-            stop_began_at <= sent_at && sent_at > stop_began_at + STOP_GRACE + slack
-        });
+        let sent_late_in_stop =
+            stop_time.is_some_and(|began_at| began_at <= sent_at && sent_at > began_at + STOP_GRACE + slack);
         let excused_by_kill = self.was_killed(gateway, sent_at) && !sent_late_in_stop;
         match outcome {
             Outcome::Refused if refusal_untrue => {
