--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -13,7 +13,7 @@
 
 /// The effect of closing a connection in its current state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Closing {
+pub(super) enum CloseEffect {
     /// A request is being answered, or received data are unread: the connection stays open.
     StaysOpen,
     /// A request has arrived in part: its client gets a timeout response.
@@ -22,7 +22,7 @@
     IsIdle,
 }
 
-impl Closing {
+impl CloseEffect {
     /// Returns the effect that closing the connection would have now.
     pub(super) fn of(connection: &Connection) -> Self {
         if connection.is_answering() {
@@ -42,18 +42,18 @@
 /// The reason for which a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed or reset it, or violated the protocol.
+    /// The client closed or reset the connection, or violated the protocol.
     Client,
-    /// The last response on it was sent, either at the request of the client or because the gateway is
-    /// draining or shutting down.
+    /// The last response on it was sent, either at the request of the
+    /// client or because the gateway is draining or shutting down.
     Answered,
     /// A request on it did not arrive completely in time.
     RequestTimeout,
-    /// It was idle for too long.
+    /// The connection was idle for too long.
     Idle,
-    /// It was closed to make room for another connection.
+    /// The connection was closed to make room for another.
     MadeRoom,
-    /// It was idle when the gateway started to drain or shut down.
+    /// The connection was idle when the gateway started to drain or shut down.
     SentAway,
 }
 
@@ -79,12 +79,12 @@
 /// A connection that was closed.
 #[derive(Clone, Debug)]
 pub struct ClosedConnection {
-    /// Its number among the connections of its listener.
+    /// The number of the connection at its listener.
     pub number: u64,
     /// The reason for which it was closed.
     pub reason: CloseReason,
-    /// The id of a request that was read on it and got no response although its client still waits. This must
-    /// not happen.
+    /// The id of a request that was read on it and got no response
+    /// although its client still waits. This must not happen.
     pub unanswered: Option<Rc<str>>,
 }
 
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -10,8 +10,8 @@
 /// Limits on client connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ServeLimits {
-    /// Maximum number of connections that are served; a request on a further one is refused and its
-    /// connection closed.
+    /// Maximum number of connections that are served; a request
+    /// on a further one is refused and its connection closed.
     pub connections: usize,
     /// Maximum number of connections beyond `connections`; any more are closed without a response.
     pub spare: usize,
@@ -31,8 +31,8 @@
 
 /// Fraction of the maximum number of connections from which idle ones are closed to make room.
 const CROWDED_FRACTION: f64 = 0.75;
-/// Minimum idle time before a connection without a request is closed to make room: until then its first
-/// request may be on its way.
+/// Minimum idle time before a connection without a request is closed
+/// to make room: until then its first request may be on its way.
 const MIN_IDLE_WITHOUT_REQUEST: Duration = Duration::from_millis(50);
 
 /// All client connections of one listener.
@@ -44,13 +44,13 @@
 }
 
 /// How a new connection is treated.
-pub(super) enum Room {
-    /// It is served.
+pub(super) enum Admission {
+    /// The connection is served.
     Served(Registration),
-    /// It is above the limit: its request is refused.
+    /// The connection is above the limit: its request is refused.
     OverLimit(Registration),
-    /// It is above the limit by more than `spare`: it is closed without a response.
-    None,
+    /// The connection exceeds the limit by more than `spare`: it is closed without a response.
+    Closed,
 }
 
 /// The registration of an open connection, which ends when it is dropped.
@@ -77,7 +77,7 @@
     }
 
     /// Registers a new connection and, if slots are scarce, closes an idle one for it.
-    pub(super) async fn register(self: &Rc<Self>, stream: TcpStream) -> Room {
+    pub(super) async fn register(self: &Rc<Self>, stream: TcpStream) -> Admission {
         let over_limit = self.make_room();
         let max_open = self.limits.connections + self.limits.spare;
         if self.open_count() >= max_open {
@@ -85,7 +85,7 @@
             tokio::task::yield_now().await;
         }
         if self.open_count() >= max_open {
-            return Room::None;
+            return Admission::Closed;
         }
         let (number, connection) = (
             self.next_number.get(),
@@ -94,11 +94,11 @@
         self.next_number.set(number + 1);
         self.by_number.borrow_mut().insert(number, connection.clone());
         let registration = Registration { connections: self.clone(), number, connection };
-        if over_limit { Room::OverLimit(registration) } else { Room::Served(registration) }
+        if over_limit { Admission::OverLimit(registration) } else { Admission::Served(registration) }
     }
 
-    /// Closes the connection whose loss matters least if slots are scarce. Returns true if the limit is
-    /// reached and there is none to close.
+    /// Closes the connection whose loss matters least if slots are scarce.
+    /// Returns true if the limit is reached and there is none to close.
     fn make_room(&self) -> bool {
         let open = self.by_number.borrow();
         let staying = open.values().filter(|connection| !connection.is_closing()).count();
@@ -114,8 +114,8 @@
                     && (*idle_time >= MIN_IDLE_WITHOUT_REQUEST || connection.has_served_request())
                     && !connection.in_request()
         });
-        // Order of preference: expired idle time, then connections that never sent a request, then the
-        // longest idle.
+        // Order of preference: expired idle time, then connections
+        // that never sent a request, then the longest idle.
         let least_needed = candidates.max_by_key(|(idle_time, connection)| {
             (*idle_time >= self.limits.idle_least, !connection.has_served_request(), *idle_time)
         });
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -1,11 +1,11 @@
-//! The server side: a bounded number of client connections, each served by its own task, which isolates
-//! panics.
+//! The server side: a bounded number of client connections,
+//! each served by its own task, which isolates panics.
 
 use super::accept::{ACCEPT_RETRY_DELAY, AcceptFailure, accept_pending};
-use super::closing::{CloseReason, ClosedConnection, Closing, finish_shutdown, linger};
+use super::closing::{CloseEffect, CloseReason, ClosedConnection, finish_shutdown, linger};
 use super::connection::{ClientBody, ClientStream, Connection, RequestInProgress};
 use super::engines::HttpEvents;
-use super::eviction::{Connections, Registration, Room, ServeLimits};
+use super::eviction::{Admission, Connections, Registration, ServeLimits};
 use super::heads::Framing;
 use crate::gateway::{AttemptError, Relay};
 use bytes::Bytes;
@@ -46,8 +46,8 @@
     Leaving,
     /// No new connections; open ones close after the response in progress.
     Closing,
-    /// Like `Closing`, but another process accepts clients on the same socket: connections that were not
-    /// accepted yet are left to that process.
+    /// Like `Closing`, but another process accepts clients on the same socket:
+    /// connections that were not accepted yet are left to that process.
     Superseded,
     /// Every accepted request has its response; all remaining connections are closed.
     Ended,
@@ -126,9 +126,9 @@
     let phases = phase.clone();
     let start_connection = async |stream| {
         let (registration, over_limit) = match connections.register(stream).await {
-            Room::Served(registration) => (registration, false),
-            Room::OverLimit(registration) => (registration, true),
-            Room::None => return log::debug!("connection closed: too many connections"),
+            Admission::Served(registration) => (registration, false),
+            Admission::OverLimit(registration) => (registration, true),
+            Admission::Closed => return log::debug!("connection closed: too many connections"),
         };
         tokio::task::spawn_local(serve_connection(
             registration,
@@ -161,8 +161,8 @@
         }
     }
     if *phase.borrow() == Phase::Closing {
-        // The kernel has already accepted these connections; closing the listener would reset them and lose
-        // their requests.
+        // The kernel has already accepted these connections; closing
+        // the listener would reset them and lose their requests.
         while let Some(stream) = accept_pending(&listener).await {
             start_connection(stream).await;
         }
@@ -200,8 +200,8 @@
             let mut response = match framing {
                 _ if over_limit => front.too_many(&request),
                 Framing::Both => front.contradicting(),
-                // The disconnect is polled first each time, so that no work starts for a client that has
-                // left.
+                // The disconnect is polled first each time, so
+                // that no work starts for a client that has left.
                 Framing::Length | Framing::Chunks => tokio::select! {
                     biased;
                     disconnected = connection.wait_for_disconnect() => return Err(disconnected),
@@ -219,32 +219,32 @@
     let mut builder = hyper::server::conn::http1::Builder::new();
     builder.timer(TokioTimer::new()).max_buf_size(limits.buffer).keep_alive(!over_limit && !shutting_down);
     let io = TokioIo::new(ClientStream(connection.clone()));
-    let mut served = std::pin::pin!(builder.serve_connection(io, service));
+    let mut http_connection = std::pin::pin!(builder.serve_connection(io, service));
     let (result, reason) = loop {
         tokio::select! {
-            result = &mut served => {
+            result = &mut http_connection => {
                 let reason = if result.is_ok() { CloseReason::Answered } else { CloseReason::Client };
                 break (result, reason);
             }
-            () = wait_to_send_away(&mut phase, &connection), if !shutting_down => {
+            () = wait_for_graceful_close(&mut phase, &connection), if !shutting_down => {
                 shutting_down = true;
-                served.as_mut().graceful_shutdown();
+                http_connection.as_mut().graceful_shutdown();
                 if !connection.is_answering() {
-                    break (finish_shutdown(served.as_mut()).await, CloseReason::SentAway);
+                    break (finish_shutdown(http_connection.as_mut()).await, CloseReason::SentAway);
                 }
             }
-            () = connection.wait_for_close_request() => match Closing::of(&connection) {
-                Closing::StaysOpen => connection.cancel_close(),
-                Closing::InterruptsRequest => {
+            () = connection.wait_for_close_request() => match CloseEffect::of(&connection) {
+                CloseEffect::StaysOpen => connection.cancel_close(),
+                CloseEffect::InterruptsRequest => {
                     // No request is being answered, so nothing else is being written.
                     drop(connection.stream.try_write(REQUEST_TIMEOUT_RESPONSE));
                     break (Ok(()), CloseReason::RequestTimeout);
                 }
-                Closing::IsIdle => {
+                CloseEffect::IsIdle => {
                     let slot_awaited = connection.is_slot_awaited();
                     let reason = if slot_awaited { CloseReason::MadeRoom } else { CloseReason::Idle };
-                    served.as_mut().graceful_shutdown();
-                    break (finish_shutdown(served.as_mut()).await, reason);
+                    http_connection.as_mut().graceful_shutdown();
+                    break (finish_shutdown(http_connection.as_mut()).await, reason);
                 }
             }
         }
@@ -255,11 +255,11 @@
     let unanswered = connection.unanswered_request_id().filter(|_| result.is_ok());
     front.closed(&ClosedConnection { number: registration.number, reason, unanswered });
     connection.mark_closing();
-    // Closing a socket with unread bytes resets the connection, and the response written last would be lost
-    // with it, so the rest is read first. An idle connection has no such response, and its unread bytes are a
-    // new request: read but not answered it would be lost, while after a reset the client sends it again. If
-    // a connection lingered while another waits for its slot, that other one would be closed without a
-    // response.
+    // Closing a socket with unread bytes resets the connection, and the response written
+    // last would be lost with it, so the rest is read first. An idle connection has no such
+    // response, and its unread bytes are a new request: read but not answered it would be
+    // lost, while after a reset the client sends it again. If a connection lingered while
+    // another waits for its slot, that other one would be closed without a response.
     let has_unread = connection.in_request() || connection.has_unread_input();
     if has_unread && !reason.was_idle() && !connection.is_slot_awaited() {
         linger(&connection.stream, limits.buffer).await;
@@ -271,10 +271,10 @@
     request.headers().get("req-id").and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
 
-/// Waits until connections are to close after the response in progress and no request has arrived on this
-/// connection, completely or in part, since closing would reset it. A request that stalls times out as at any
-/// other time.
-async fn wait_to_send_away(phase: &mut watch::Receiver<Phase>, connection: &Connection) {
+/// Waits until connections are to close after the response in progress and no
+/// request has arrived on this connection, completely or in part, since closing
+/// would reset it. A request that stalls times out as at any other time.
+async fn wait_for_graceful_close(phase: &mut watch::Receiver<Phase>, connection: &Connection) {
     // Without a sender, nothing ends the connections that are being served.
     if phase.wait_for(|phase| *phase == Phase::Away || phase.stops_accepting()).await.is_err() {
         return std::future::pending().await;
