--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -1,8 +1,8 @@
-//! Delays before calls to discovery: before the first call, and before retries of failed calls. If one shared
-//! service answers all gateways, hundreds of them that call at once, and again several times a second each,
-//! keep it from answering any: calls wait in its queue, and work on those that time out meanwhile is wasted.
-//! However many calls failed before, the next call begins early enough to be answered before a change counts
-//! as announced.
+//! Delays before calls to discovery: before the first call, and before retries of failed
+//! calls. If one shared service answers all gateways, hundreds of them that call at once, and
+//! again several times a second each, keep it from answering any: calls wait in its queue,
+//! and work on those that time out meanwhile is wasted. However many calls failed before, the
+//! next call begins early enough to be answered before a change counts as announced.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     pub gateways: u32,
     /// Seed for the random delays; each gateway needs its own.
     pub seed: u64,
-    /// Time after which the settings count a listed change as announced even without an open watch.
+    /// Time, from the settings, after which a listed change counts as announced even without an open watch.
     pub told_after: Duration,
 }
 
@@ -41,7 +41,7 @@
 /// service only a few lines, as it starts from the known list.
 const FIRST_CALL_SPREAD_PER_GATEWAY: Duration = Duration::from_millis(40);
 /// Time a call may take beyond the time it waits for an update.
-pub(super) const GRACE: Duration = Duration::from_secs(2);
+pub(super) const CALL_GRACE: Duration = Duration::from_secs(2);
 /// Maximum duration over which first calls are spread, by opening. A change counts as announced 6 s after
 /// discovery had it and could be reached, whatever failed, and at a new address 4 s after the operator
 /// command (protocol); without a list the gateway accepts no client.
@@ -51,16 +51,16 @@
 /// Maximum time from the start of a failed call to the start of the next, however the call failed: a change
 /// counts as announced 6 s after discovery can be reached again, and a call may have failed just before that.
 const MAX_CALL_INTERVAL: Duration = Duration::from_millis(4_800);
-/// Timeout of a call that opens a watch, including the dial. It is below `MAX_CALL_INTERVAL` and otherwise as
-/// long as possible: a call that times out in the queue of the service is wasted work, and the retry goes to
-/// the end of the queue.
+/// Timeout of a call that opens a watch, including the dial. It is below
+/// `MAX_CALL_INTERVAL` and otherwise as long as possible: a call that times out in the
+/// queue of the service is wasted work, and the retry goes to the end of the queue.
 const SERVICE_TIMEOUT: Duration = Duration::from_secs(4);
 /// The same timeout at an agent, which answers at once.
 const AGENT_TIMEOUT: Duration = Duration::from_secs(2);
 /// First retry delay at a shared service.
 const FIRST_DELAY: Duration = Duration::from_secs(1);
-/// First and maximum retry delay at an agent, which only this gateway calls. A watch counts as uninterrupted
-/// if it is renewed within 200 ms.
+/// First and maximum retry delay at an agent, which only this gateway
+/// calls. A watch counts as uninterrupted if it is renewed within 200 ms.
 const AGENT_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
 
 /// Randomised delays between calls.
@@ -77,8 +77,8 @@
 
 impl Backoff {
     /// Creates the state of one watch; nothing carries over from an earlier watch.
-    pub(super) fn new(asking: Asking) -> Self {
-        let Asking { shared, gateways, seed, told_after } = asking;
+    pub(super) fn new(params: Asking) -> Self {
+        let Asking { shared, gateways, seed, told_after } = params;
         let (first_call_spread, opening_timeout, first_delay, max_delay) = if shared {
             (
                 FIRST_CALL_SPREAD_PER_GATEWAY.saturating_mul(gateways.saturating_sub(1)),
@@ -89,7 +89,7 @@
         } else {
             (Duration::ZERO, AGENT_TIMEOUT, AGENT_DELAYS.0, AGENT_DELAYS.1)
         };
-        let max_first_spread = told_after.saturating_sub(GRACE).min(MAX_SPREAD_KNOWN);
+        let max_first_spread = told_after.saturating_sub(CALL_GRACE).min(MAX_SPREAD_KNOWN);
         let rng = fastrand::Rng::with_seed(seed);
         Self {
             first_call_spread,
@@ -118,18 +118,18 @@
     }
 
     /// Records a response; returns the number of calls that failed before it.
-    pub(super) fn answered(&mut self) -> u32 {
+    pub(super) fn record_response(&mut self) -> u32 {
         std::mem::take(&mut self.failures)
     }
 
-    /// Records a failed call that took the given time. Returns the delay before the next call, and true if
-    /// the failure is the first of an outage.
-    pub(super) fn failed(&mut self, elapsed: Duration) -> (Duration, bool) {
+    /// Records a failed call that took the given time. Returns the delay before
+    /// the next call, and true if the failure is the first of an outage.
+    pub(super) fn record_failure(&mut self, elapsed: Duration) -> (Duration, bool) {
         let mean = self.first_delay.saturating_mul(1 << self.failures.min(16)).min(self.max_delay);
         let first_failure = self.failures == 0;
         self.failures = self.failures.saturating_add(1);
-        // Random, so that gateways that failed together do not stay in step, including those at the maximum
-        // delay.
+        // Random, so that gateways that failed together do not
+        // stay in step, including those at the maximum delay.
         let longest = mean.mul_f64(1.5).min(MAX_CALL_INTERVAL.saturating_sub(elapsed));
         let shortest = (mean / 2).min(longest / 2);
         (shortest + (longest - shortest).mul_f64(self.rng.f64()), first_failure)
@@ -143,18 +143,18 @@
 
     const MICROS_PER_S: u64 = 1_000_000;
 
-    fn asking(shared: bool, gateways: u32, seed: u64) -> Asking {
+    fn call_params(shared: bool, gateways: u32, seed: u64) -> Asking {
         Asking { shared, gateways, ..Asking::agent(seed) }
     }
 
-    /// Simulates gateways that all start at once at one service with the given capacity, whose calls wait in
-    /// a queue. A call that waits longer than its timeout fails but is processed all the same; if 3 s of work
-    /// are queued, further calls are refused. Returns the second in which the last gateway was answered, and
-    /// the number of calls.
+    /// Simulates gateways that all start at once at one service with the given capacity,
+    /// whose calls wait in a queue. A call that waits longer than its timeout fails but is
+    /// processed all the same; if 3 s of work are queued, further calls are refused.
+    /// Returns the second in which the last gateway was answered, and the number of calls.
     fn simulate(gateways: u32, calls_per_second: u64, until_s: u64) -> (Option<u64>, usize) {
         let first_call = |n| {
             let seed = u64::from(n) + 1;
-            let mut backoff = Backoff::new(asking(true, gateways, seed));
+            let mut backoff = Backoff::new(call_params(true, gateways, seed));
             (backoff.first_call_delay(Opening::Known).as_micros() as u64, backoff)
         };
         let mut pending: Vec<_> = (0..gateways).map(first_call).collect();
@@ -175,14 +175,14 @@
                 pending.swap_remove(next);
             } else {
                 let waited = if refused { Duration::ZERO } else { timeout };
-                *at += (waited + backoff.failed(waited).0).as_micros() as u64;
+                *at += (waited + backoff.record_failure(waited).0).as_micros() as u64;
             }
         }
         (Some(last / MICROS_PER_S), calls)
     }
 
-    // If all gateways call at once, and again 50 ms after each failure, the queue of the service stays full
-    // and no call is answered in time any more.
+    // If all gateways call at once, and again 50 ms after each failure, the
+    // queue of the service stays full and no call is answered in time any more.
     #[rstest]
     #[case(100, 30)]
     #[case(100, 10)]
@@ -196,8 +196,8 @@
         assert!(calls <= 5 * gateways as usize, "{calls} calls");
     }
 
-    // A change counts as announced 6 s after the service is back: each gateway must call within that time,
-    // but no more often than necessary.
+    // A change counts as announced 6 s after the service is back: each
+    // gateway must call within that time, but no more often than necessary.
     #[rstest]
     #[case(20)]
     #[case(100)]
@@ -211,8 +211,8 @@
         assert!(calls_per_second <= max_rate, "{calls_per_second} calls a second");
     }
 
-    // After an outage of a minute, gateways called again up to 24 s after discovery was back, while changes
-    // counted as announced after 6 s.
+    // After an outage of a minute, gateways called again up to 24 s after
+    // discovery was back, while changes counted as announced after 6 s.
     #[rstest]
     fn retry_starts_within_the_maximum_interval_after_any_failures(
         #[values(true, false)] shared: bool,
@@ -221,10 +221,12 @@
         #[values(1, 2, 7, 400)] failures: usize,
     ) {
         for seed in 0..20 {
-            let mut backoff = Backoff::new(asking(shared, gateways, seed));
+            let mut backoff = Backoff::new(call_params(shared, gateways, seed));
             let elapsed = Duration::from_millis(elapsed_ms);
-            let delay =
-                (0..failures).map(|_| backoff.failed(elapsed).0).last().expect("at least one failure");
+            let delay = (0..failures)
+                .map(|_| backoff.record_failure(elapsed).0)
+                .last()
+                .expect("at least one failure");
             assert!(elapsed + delay <= MAX_CALL_INTERVAL.max(elapsed), "{delay:?}");
             assert!(backoff.opening_timeout() < MAX_CALL_INTERVAL);
         }
@@ -239,16 +241,16 @@
         #[case] gateways: u32,
         #[case] (shortest, max_delay): (Duration, Duration),
     ) {
-        let mut backoff = Backoff::new(asking(shared, gateways, 7));
+        let mut backoff = Backoff::new(call_params(shared, gateways, 7));
         let is_near = |delay: Duration, mean: Duration| delay >= mean / 2 && delay <= mean * 3 / 2;
         for _ in 0..3 {
-            let (delay, first) = backoff.failed(Duration::ZERO);
+            let (delay, first) = backoff.record_failure(Duration::ZERO);
             assert!(first && is_near(delay, shortest), "{delay:?}");
             for n in 1..80 {
-                let (delay, first) = backoff.failed(Duration::ZERO);
+                let (delay, first) = backoff.record_failure(Duration::ZERO);
                 assert!(!first && (n < 5 || is_near(delay, max_delay)), "{delay:?}");
             }
-            assert_eq!(backoff.answered(), 80);
+            assert_eq!(backoff.record_response(), 80);
         }
         assert!(
             shared || backoff.first_call_delay(Opening::Known) == Duration::ZERO,
@@ -256,9 +258,9 @@
         );
     }
 
-    // A gateway that was moved to another address waited up to 8 s before its first call there, though
-    // changes count as announced after 4 s; a gateway without a list waited as long before it could serve
-    // anyone.
+    // A gateway that was moved to another address waited up to 8 s before
+    // its first call there, though changes count as announced after 4 s; a
+    // gateway without a list waited as long before it could serve anyone.
     #[rstest]
     #[case::from_a_known_list(Opening::Known, 10, 4_000, 4_500)]
     #[case::with_a_short_announcement_time(Opening::Known, 5, 2_000, 3_000)]
@@ -272,13 +274,13 @@
     ) {
         let first_delay = |seed| {
             let told_after = Duration::from_secs(told_after_s);
-            Backoff::new(Asking { told_after, ..asking(true, 350, seed) }).first_call_delay(opening)
+            Backoff::new(Asking { told_after, ..call_params(true, 350, seed) }).first_call_delay(opening)
         };
         let latest = (0..350).map(first_delay).max();
         let within = Duration::from_millis(min_ms)..=Duration::from_millis(max_ms);
         assert!(latest.is_some_and(|delay| within.contains(&delay)), "{latest:?}");
         // A few gateways do not need such a long delay.
-        let delay_of_few = Backoff::new(asking(true, 4, 7)).first_call_delay(opening);
+        let delay_of_few = Backoff::new(call_params(true, 4, 7)).first_call_delay(opening);
         assert!(delay_of_few <= Duration::from_millis(120), "{delay_of_few:?}");
     }
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -3,7 +3,7 @@
 //! keeps following the old address until the new one has responded with a revision that is not older than the
 //! last one applied. An older revision lacks later changes, so the known engines stay in use meanwhile.
 
-use super::backoff::{Asking, Backoff, GRACE, Opening};
+use super::backoff::{Asking, Backoff, CALL_GRACE, Opening};
 use super::pool::{Channel, Pool, PoolLimits};
 use super::transport::WriteWatch;
 use crate::config::{List, Names, Numbers};
@@ -19,15 +19,15 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Maximum time a long-poll call waits for an update. Together with `GRACE` it is one second less than the 6
-/// s after which the protocol counts a change as announced even if a silent connection lost it: the next call
-/// must be open and answered by then.
+/// Maximum time a long-poll call waits for an update. Together with `CALL_GRACE` it is one
+/// second less than the 6 s after which the protocol counts a change as announced even
+/// if a silent connection lost it: the next call must be open and answered by then.
 const MAX_WAIT: Duration = Duration::from_secs(3);
 /// Maximum time the call that opens a watch waits for an update.
 const FIRST_MAX_WAIT: Duration = Duration::from_secs(1);
-/// Maximum time a new address may report an older revision than the last one applied. By then the protocol
-/// counts every change as announced, so a lower revision belongs to another history, and its list is
-/// accepted.
+/// Maximum time a new address may report an older revision than the last
+/// one applied. By then the protocol counts every change as announced, so
+/// a lower revision belongs to another history, and its list is accepted.
 const BEHIND_TIMEOUT: Duration = Duration::from_secs(6);
 /// Maximum size of a response, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
@@ -49,7 +49,7 @@
             connections: 2,
             reserved: 0,
             buffer: BUFFER_BYTES,
-            dial_timeout: GRACE,
+            dial_timeout: CALL_GRACE,
             idle: MAX_WAIT,
         };
         Self { address, pool: Pool::new(limits), channel: None, revision: None, backoff }
@@ -60,7 +60,7 @@
     /// shows yet that a server listens at the address.
     async fn request_update(&mut self, open: bool) -> Result<List, AttemptError> {
         let (wait, call_timeout) = if open {
-            (MAX_WAIT, MAX_WAIT + GRACE)
+            (MAX_WAIT, MAX_WAIT + CALL_GRACE)
         } else {
             (FIRST_MAX_WAIT, self.backoff.opening_timeout())
         };
@@ -76,9 +76,9 @@
                 Some(channel) => channel,
                 None => self.pool.acquire(&self.address).await?,
             };
-            let answer = channel.send(request, 0, WriteWatch::default()).await?;
-            let status = answer.status();
-            let body = Limited::new(answer.into_body(), MAX_LIST_BYTES).collect().await;
+            let response = channel.send(request, 0, WriteWatch::default()).await?;
+            let status = response.status();
+            let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await;
             let body = body.map_err(|e| AttemptError::new(Progress::Written, e))?.to_bytes();
             if !status.is_success() {
                 return Err(AttemptError::new(Progress::Written, format!("status {status}")));
@@ -88,8 +88,8 @@
             Ok((list, channel))
         };
         let timed_out = |_| Err(AttemptError::new(Progress::TimedOut, "no response in time"));
-        // The timeout includes the dial: a connection that is not established is treated like a missing
-        // response.
+        // The timeout includes the dial: a connection that is
+        // not established is treated like a missing response.
         let (list, channel) = tokio::time::timeout(call_timeout, call).await.unwrap_or_else(timed_out)?;
         self.channel = Some(channel);
         Ok(list)
@@ -111,13 +111,13 @@
                         list.rev
                     );
                     self.revision = None;
-                    tokio::time::sleep(self.backoff.failed(call_started.elapsed()).0).await;
+                    tokio::time::sleep(self.backoff.record_failure(call_started.elapsed()).0).await;
                 }
                 Ok(list) => {
-                    // The first response is always sent on, even if it is empty: it shows that this address
-                    // can be followed.
+                    // The first response is always sent on, even if it is
+                    // empty: it shows that this address can be followed.
                     let first_response = !std::mem::replace(&mut open, true);
-                    let failures = self.backoff.answered();
+                    let failures = self.backoff.record_response();
                     if failures > 0 {
                         log::info!("discovery responds again at={} after failures={failures}", self.address);
                     }
@@ -128,11 +128,11 @@
                     }
                 }
                 Err(error) => {
-                    let (delay, first_failure) = self.backoff.failed(call_started.elapsed());
-                    // A timeout on an open watch means that its connection is broken, while the service may
-                    // be healthy. A change lost with the connection soon counts as announced, so the next
-                    // call follows at once. Gateways detect such a timeout at different moments, so these
-                    // calls do not coincide.
+                    let (delay, first_failure) = self.backoff.record_failure(call_started.elapsed());
+                    // A timeout on an open watch means that its connection is broken, while
+                    // the service may be healthy. A change lost with the connection soon
+                    // counts as announced, so the next call follows at once. Gateways detect
+                    // such a timeout at different moments, so these calls do not coincide.
                     let watch_timed_out = std::mem::take(&mut open) && error.progress == Progress::TimedOut;
                     let delay = if watch_timed_out { Duration::ZERO } else { delay };
                     // Only the first failure of an outage is logged as a warning, not every failed call.
@@ -159,8 +159,8 @@
     newest_source: u64,
     /// The revision of the last applied list, if any.
     revision: Option<u64>,
-    /// The newest source if its revision is older than the applied one, and the time until which its list is
-    /// rejected.
+    /// The newest source if its revision is older than the applied
+    /// one, and the time until which its list is rejected.
     behind: Option<(u64, Instant)>,
     /// The source whose list is accepted whatever its revision.
     accepted_source: u64,
@@ -215,8 +215,8 @@
         self.sources.push((self.newest_source, task.abort_handle()));
     }
 
-    /// Returns the applied revision if a response is older than it and comes from an address that is not
-    /// followed yet.
+    /// Returns the applied revision if a response is older than
+    /// it and comes from an address that is not followed yet.
     fn applied_if_older(&self, number: u64, list: &List) -> Option<u64> {
         let followed = self.sources.first().is_some_and(|(oldest, _)| number <= *oldest);
         self.revision.filter(|known_revision| {
@@ -239,8 +239,8 @@
         (!list.targets.is_empty()).then(|| list.change(&self.names, &mut self.numbers))
     }
 
-    /// Accepts the list of an address that still reports an older revision after `BEHIND_TIMEOUT`, by
-    /// requesting its whole list again.
+    /// Accepts the list of an address that still reports an older revision
+    /// after `BEHIND_TIMEOUT`, by requesting its whole list again.
     fn accept_older_list(&mut self) {
         let Some((number, _)) = self.behind.take().filter(|(number, _)| *number == self.newest_source) else {
             return;
