--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -60,8 +60,8 @@
     use super::*;
     use rstest::rstest;
 
-    // A connection that was gone before it was accepted prevented all connections behind it from being
-    // accepted.
+    // A connection that was gone before it was accepted
+    // prevented all connections behind it from being accepted.
     #[rstest]
     #[case(Errno::AGAIN, AcceptFailure::NonePending)]
     #[case(Errno::CONNABORTED, AcceptFailure::SingleConnection)]
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -20,17 +20,17 @@
 use tokio::sync::Notify;
 use tokio::time::Sleep;
 
-/// Delay before a body error closes the connection, so that data already passed to hyper is written out
-/// first.
+/// Delay before a body error closes the connection, so that
+/// data already passed to hyper is written out first.
 const WRITE_OUT_DELAY: Duration = Duration::from_millis(20);
 
-/// Size of one read while a client waits for its response, in bytes.
+/// Maximum number of bytes per read ahead of the parser while a client waits for its response.
 const READ_AHEAD_BYTES: usize = 2 << 10;
 /// Interval at which a connection is checked for a disconnect once the read-ahead budget is used up.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The client has closed or reset its connection, or has shut down its sending side: no response is owed any
-/// more.
+/// The client has closed or reset its connection, or has
+/// shut down its sending side: no response is owed any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ClientDisconnected;
 
@@ -131,9 +131,9 @@
         self.read_ended.get() || !self.read_ahead.borrow().is_empty() || is_stale(&self.stream)
     }
 
-    /// Waits until the client has disconnected. While a request is being answered and further bytes wait
-    /// behind it, the parser reads nothing more, so this method reads those bytes and keeps them for the
-    /// parser.
+    /// Waits until the client has disconnected. While a request is being
+    /// answered and further bytes wait behind it, the parser reads nothing
+    /// more, so this method reads those bytes and keeps them for the parser.
     pub(super) async fn wait_for_disconnect(&self) -> ClientDisconnected {
         while !self.read_ended.get() {
             if self.read_ahead_budget.get() >= READ_AHEAD_BYTES {
@@ -197,8 +197,8 @@
         self.slot_awaited.set(false);
     }
 
-    /// Returns how long the connection has been idle, or `None` if a request is being answered or it is
-    /// closing.
+    /// Returns how long the connection has been idle, or
+    /// `None` if a request is being answered or it is closing.
     pub(super) fn idle_time(&self) -> Option<Duration> {
         (!self.closing.get() && self.requests_in_progress.get() == 0)
             .then(|| self.last_activity.get().elapsed())
@@ -252,7 +252,7 @@
 /// A response body; dropping it ends the request on its connection.
 pub(super) struct ClientBody<B: Body> {
     body: B,
-    /// An error that is still to be reported, and the timer after which it is.
+    /// An error that is still to be reported, and the timer that delays it.
     delayed_error: Option<(B::Error, Pin<Box<Sleep>>)>,
     disconnect: Pin<Box<dyn Future<Output = ClientDisconnected>>>,
     _request: RequestInProgress,
@@ -274,9 +274,9 @@
     type Data = B::Data;
     type Error = B::Error;
 
-    /// Delays an error by a short time: on an error, hyper drops the connection with everything that was not
-    /// written out, and data that was passed on just before, including the response head, would never reach
-    /// the client.
+    /// Delays an error by a short time: on an error, hyper drops the connection
+    /// with everything that was not written out, and data that was passed on
+    /// just before, including the response head, would never reach the client.
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/src/net/engines.rs
+++ b/src/net/engines.rs
@@ -28,7 +28,7 @@
     Staged,
     /// A single step whose response is a JSON object with a list of results.
     Single {
-        /// The name of the list.
+        /// The name of the list in the response.
         list: &'static str,
         /// Expected number of its entries; a response with fewer is incomplete.
         entries: usize,
@@ -38,9 +38,9 @@
 /// A request in the form in which it is sent to engines.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Path and query.
+    /// Path and query of the request.
     pub path: String,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
     /// The idempotency key that the client sent, by which engines recognise a repeat of the request.
     pub idempotency_key: Option<HeaderValue>,
@@ -115,8 +115,8 @@
     Ok(read.map_err(read_error)?.to_bytes())
 }
 
-/// Returns true if a response proves that its request never ran. The header has that meaning only with these
-/// statuses.
+/// Returns true if a response proves that its request never
+/// ran. The header has that meaning only with these statuses.
 fn is_declined(status: StatusCode, headers: &HeaderMap) -> bool {
     let may_decline =
         matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE);
@@ -134,8 +134,8 @@
             Reply::Read { cached_tokens: cached_tokens.unwrap_or(0.0).max(0.0) }
         }
         (Manner::Single { list, entries }, StatusCode::OK) => {
-            // A body without a length ends when its connection closes, so only its content shows that it is
-            // complete.
+            // A body without a length ends when its connection
+            // closes, so only its content shows that it is complete.
             let json: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
             let complete =
                 json.get(list).and_then(|list| list.as_array()).is_some_and(|l| l.len() == entries);
@@ -162,7 +162,7 @@
         &self,
         call: Call<Job>,
     ) -> impl Future<Output = Result<Replied<HttpEvents>, AttemptError>> + 'static {
-        let (pool, names, max_bytes) = (self.pool.clone(), self.load.clone(), self.answer_bytes);
+        let (pool, load_names, max_bytes) = (self.pool.clone(), self.load.clone(), self.answer_bytes);
         let tries = self.tries.clone();
         async move {
             let mut channel = pool.acquire(&call.endpoint).await?;
@@ -174,7 +174,8 @@
             let watch = WriteWatch { guard: Some(call.guard), written_counter: Some(tries) };
             let response = channel.send(request, call.job.body.len(), watch).await?;
             let (head, body) = response.into_parts();
-            let load = head.headers.get("srv-load").map_or(Load::default(), |l| names.read(l.as_bytes()));
+            let load =
+                head.headers.get("srv-load").map_or(Load::default(), |l| load_names.read(l.as_bytes()));
             if call.job.manner == Manner::Staged && head.status == StatusCode::OK {
                 let connected = channel.opened;
                 let (events, connection) = (Events::new(max_bytes), Some((pool, call.endpoint, channel)));
@@ -213,7 +214,7 @@
     }
 
     fn probe(&self, endpoint: Arc<str>) -> impl Future<Output = Result<Load, AttemptError>> + 'static {
-        let (pool, names) = (self.pool.clone(), self.load.clone());
+        let (pool, load_names) = (self.pool.clone(), self.load.clone());
         async move {
             let request = request(Method::GET, &endpoint, "/status/load", Bytes::new())?;
             let mut channel = pool.acquire(&endpoint).await?;
@@ -222,7 +223,7 @@
             let body = read_body(&channel, response.into_body(), MAX_STATUS_BODY_BYTES).await?;
             pool.put_back(endpoint, channel);
             let failed = || AttemptError::new(Progress::Written, format!("status {status}"));
-            status.is_success().then(|| names.read(&body)).ok_or_else(failed)
+            status.is_success().then(|| load_names.read(&body)).ok_or_else(failed)
         }
     }
 
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -1,6 +1,6 @@
-//! A stream of server-sent events from an engine. Each event is validated before it is passed on, so that
-//! noise never reaches a client and a stream that is malformed at its start can still be tried at another
-//! engine.
+//! A stream of server-sent events from an engine. Each event is validated
+//! before it is passed on, so that noise never reaches a client and a stream
+//! that is malformed at its start can still be tried at another engine.
 
 use bytes::{Bytes, BytesMut};
 use serde::de::IgnoredAny;
@@ -13,8 +13,8 @@
 /// The events of one response.
 #[derive(Debug)]
 pub(super) struct Events {
-    /// Received bytes that were not passed on yet: everything before the first event with data, later an
-    /// incomplete event.
+    /// Received bytes that were not passed on yet: everything
+    /// before the first event with data, later an incomplete event.
     pending: BytesMut,
     /// Number of these bytes that belong to complete events.
     complete_bytes: usize,
@@ -87,8 +87,8 @@
         while let Some((line, length)) = next_line(&text[offset..]) {
             offset += length;
             if line.is_empty() && lines == 0 {
-                // A blank line before an event belongs to it. A chunk with a wrong size also starts with a
-                // blank line.
+                // A blank line before an event belongs to it. A chunk
+                // with a wrong size also starts with a blank line.
                 continue;
             }
             lines += 1;
--- a/src/net/heads.rs
+++ b/src/net/heads.rs
@@ -3,8 +3,8 @@
 
 use std::collections::VecDeque;
 
-/// Maximum length of a header line whose value is parsed, in bytes; a content length in a longer line is
-/// invalid.
+/// Maximum length of a header line whose value is parsed,
+/// in bytes; a content length in a longer line is invalid.
 const MAX_LINE_BYTES: usize = 256;
 
 /// How a request head says where its body ends.
@@ -127,8 +127,8 @@
     use super::*;
     use rstest::rstest;
 
-    // The HTTP parser keeps one of two lengths, depending on their order; both must be found here in either
-    // case.
+    // The HTTP parser keeps one of two lengths, depending on
+    // their order; both must be found here in either case.
     #[rstest]
     #[case::no_body("GET / HTTP/1.1\r\nA: b\r\n\r\n", &[Framing::Length], false)]
     #[case::length("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", &[Framing::Length], false)]
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to engines: each carries one request at a time, idle ones are reused, and their number is
-//! bounded.
+//! Connections to engines: each carries one request at a
+//! time, idle ones are reused, and their number is bounded.
 
 use super::transport::{Meter, MeteredStream, WriteWatch, is_stale};
 use crate::gateway::{AttemptError, Progress};
@@ -32,8 +32,8 @@
     pub idle: Duration,
 }
 
-/// Delay before a connection is reused after a response: unsolicited bytes that follow the response must not
-/// be taken for the next response.
+/// Delay before a connection is reused after a response: unsolicited bytes
+/// that follow the response must not be taken for the next response.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 
 /// Counts a connection as open until it is dropped.
@@ -86,9 +86,9 @@
         self.in_use = false;
     }
 
-    /// Makes the kernel reset the connection when it is closed. Otherwise the kernel would still deliver the
-    /// buffered bytes, and a server that hung or was unreachable would start a request that was given up long
-    /// before.
+    /// Makes the kernel reset the connection when it is closed. Otherwise the
+    /// kernel would still deliver the buffered bytes, and a server that hung
+    /// or was unreachable would start a request that was given up long before.
     fn discard_unsent(&self) {
         if let Err(error) = SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO)) {
             log::debug!("connection closes without a reset {error}");
@@ -110,14 +110,14 @@
 /// The connections of one gateway to engines.
 pub struct Pool {
     limits: PoolLimits,
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
     idle: RefCell<HashMap<Arc<str>, Vec<Idle>>>,
 }
 
 impl Pool {
     /// Creates an empty pool.
     pub fn new(limits: PoolLimits) -> Rc<Self> {
-        Rc::new(Self { limits, open: Rc::default(), idle: RefCell::default() })
+        Rc::new(Self { limits, open_connections: Rc::default(), idle: RefCell::default() })
     }
 
     /// Returns an idle connection, or a new one, for an attempt.
@@ -141,10 +141,10 @@
                 return Ok(idle.channel);
             }
         }
-        if self.open.get() >= max_connections {
+        if self.open_connections.get() >= max_connections {
             self.close_one_idle();
         }
-        if self.open.get() >= max_connections {
+        if self.open_connections.get() >= max_connections {
             return Err(AttemptError::new(Progress::Unconnected, "all connections are in use"));
         }
         self.connect(endpoint).await
@@ -164,8 +164,8 @@
     }
 
     async fn connect(&self, endpoint: &str) -> Result<Channel, AttemptError> {
-        self.open.set(self.open.get() + 1);
-        let open_count = OpenCount(self.open.clone());
+        self.open_connections.set(self.open_connections.get() + 1);
+        let open_count = OpenCount(self.open_connections.clone());
         let not_connected = |cause: String| AttemptError::new(Progress::Unconnected, cause);
         let dialled = tokio::time::timeout(self.limits.dial_timeout, TcpStream::connect(endpoint)).await;
         let stream = dialled.map_err(|_| not_connected("connect timed out".into()))?;
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -30,8 +30,8 @@
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
             if reload_requested.swap(false, Ordering::Relaxed) {
-                // If a reload is already pending, it reads the current file when it begins, so the request
-                // may be dropped.
+                // If a reload is already pending, it reads the current
+                // file when it begins, so the request may be dropped.
                 let _ = reload_sender.try_send(());
             }
             if stop_requested.load(Ordering::Relaxed)
--- a/src/net/transport.rs
+++ b/src/net/transport.rs
@@ -170,8 +170,8 @@
     use super::{Cell, Meter, Rc, WriteWatch};
     use rstest::rstest;
 
-    // A request counts as never run only until its last byte is written, so one missing byte makes the
-    // difference.
+    // A request counts as never run only until its last byte
+    // is written, so one missing byte makes the difference.
     #[rstest]
     #[case::head_in_two_writes(&["POST / HTTP/1.1\r\nA: b\r", "\n\r\nbo"], 2, true)]
     #[case::last_byte_missing(&["POST / HTTP/1.1\r\n\r\nbod"], 4, false)]
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -122,8 +122,8 @@
     .await;
 }
 
-// Chunked encoding is valid, but the requests after the body are not tracked, so nothing after it may be
-// taken for a request.
+// Chunked encoding is valid, but the requests after the body are
+// not tracked, so nothing after it may be taken for a request.
 #[tokio::test]
 async fn chunked_request_is_served_and_is_the_last_on_its_connection() {
     local(async {
@@ -211,8 +211,8 @@
     String::from_utf8_lossy(&first[..read]).into_owned()
 }
 
-// A connection that was closed while bytes after the request were unread was reset, and a response that was
-// still on its way was lost.
+// A connection that was closed while bytes after the request were
+// unread was reset, and a response that was still on its way was lost.
 #[tokio::test]
 async fn connection_closed_with_unread_bytes_is_not_reset() {
     local(async {
@@ -222,8 +222,8 @@
         stream.write_all(request("a1").as_bytes()).await.expect("the request is written");
         until("the reader has the request", async || fixture.reader.count("/v1/") > 0).await;
         fixture.daemon.stop.notify_one();
-        // More data than is read ahead, which ends between two requests: the rest is unread when the response
-        // is sent.
+        // More data than is read ahead, which ends between two
+        // requests: the rest is unread when the response is sent.
         let unpadded_len = request("b1").len();
         let padded = request("b1")
             .replace("\r\n\r\n", &format!("\r\nPad: {}\r\n\r\n", "x".repeat(1024 - unpadded_len - 7)));
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -14,8 +14,8 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// Starts a discovery server that sends the given responses in turn and then none; returns its address and
-/// the requested paths.
+/// Starts a discovery server that sends the given responses in turn
+/// and then none; returns its address and the requested paths.
 async fn scripted(answers: &'static [&'static str]) -> (String, Rc<RefCell<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("the listener has an address").to_string();
@@ -239,8 +239,8 @@
     address
 }
 
-// A restarted process serves from the list that it persisted last, whatever discovery does; without one it is
-// ready as soon as discovery sends its list.
+// A restarted process serves from the list that it persisted last, whatever
+// discovery does; without one it is ready as soon as discovery sends its list.
 #[rstest]
 #[tokio::test]
 async fn restarted_daemon_is_ready_whatever_discovery_does(
@@ -261,8 +261,8 @@
             assert!(started.elapsed() < Duration::from_millis(max_ms), "{:?}", started.elapsed());
             assert_eq!(chat(daemon.address, "a1", "lookup", 9000).await.status, 200);
         } else {
-            // The daemon knows no engine: it reports that it is not ready, and a request still gets a
-            // response.
+            // The daemon knows no engine: it reports that it is
+            // not ready, and a request still gets a response.
             assert!(!daemon.is_ready().await);
             assert!(matches!(chat(daemon.address, "a1", "lookup", 500).await.status, 429 | 504));
         }
--- a/tests/engines.rs
+++ b/tests/engines.rs
@@ -57,8 +57,8 @@
     local(assert_failed_attempt_that_may_have_run(response, class)).await;
 }
 
-/// Checks that the response of a decode server is one failed attempt: another server handles a safe request,
-/// other requests fail with it.
+/// Checks that the response of a decode server is one failed attempt:
+/// another server handles a safe request, other requests fail with it.
 async fn assert_failed_attempt_that_may_have_run(response: &'static str, (class, status): (&str, u16)) {
     let fixture = Fixture::start(response).await;
     let answer = chat(fixture.daemon.address, "a1", class, 9000).await;
@@ -117,8 +117,8 @@
     .await;
 }
 
-// During a shutdown the gateway kept a response whose engine hung until the gateway was killed, and its
-// client waited.
+// During a shutdown the gateway kept a response whose engine
+// hung until the gateway was killed, and its client waited.
 #[tokio::test]
 async fn hanging_response_is_cut_off_before_a_stopping_gateway_is_killed() {
     local(async {
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -1,5 +1,5 @@
-//! Test doubles on the loopback interface: engines of each kind, discovery, and a client; and a daemon
-//! between them.
+//! Test doubles on the loopback interface: engines of each
+//! kind, discovery, and a client; and a daemon between them.
 #![allow(dead_code)] // each test file uses its own part
 
 use meadowlug::config::{Config, Inference, Reload, Shared};
@@ -185,7 +185,8 @@
     /// The targets that the last revision changed, if it is sent as a change.
     changed_targets: Rc<RefCell<Vec<Value>>>,
     list_changed: Rc<Notify>,
-    /// True while the server is down: it closes waiting watches at once, and other connections at their next request.
+    /// True while the server is down: it closes waiting watches at once, and other connections at their next
+    /// request.
     is_down: Rc<Cell<bool>>,
     /// The revisions that were written to a watch, with the time of each.
     written_revisions: Rc<RefCell<Vec<(u64, Instant)>>>,
@@ -228,8 +229,8 @@
         *rev
     }
 
-    /// Returns the time at which the revision, or a later one, was first written to a watch: from then on it
-    /// counts as announced.
+    /// Returns the time at which the revision, or a later one, was
+    /// first written to a watch: from then on it counts as announced.
     pub fn told(&self, revision: u64) -> Instant {
         let written_revisions = self.written_revisions.borrow();
         written_revisions.iter().find(|(rev, _)| *rev >= revision).expect("the revision was written").1
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-// A gateway that was given another discovery address stayed at the old one and sent to engines that were long
-// gone.
+// A gateway that was given another discovery address stayed
+// at the old one and sent to engines that were long gone.
 #[tokio::test]
 async fn watch_moves_without_a_gap() {
     local(async {
@@ -92,8 +92,8 @@
             "the older list brought an engine into use"
         );
 
-        // The new address catches up: its changes are accepted from then on, and the old address is no longer
-        // followed.
+        // The new address catches up: its changes are accepted
+        // from then on, and the old address is no longer followed.
         for _ in 0..10 {
             lagging.set(&r1, "DRAINING");
         }
@@ -193,8 +193,8 @@
             until("the daemon is ready", async || daemon.is_ready().await).await;
             assert_eq!(chat(daemon.address, "a1", "lookup", 9000).await.status, 200);
         } else {
-            // The request waits for an engine no longer than its deadline allows, and then gets an error
-            // response.
+            // The request waits for an engine no longer than its
+            // deadline allows, and then gets an error response.
             let answer = chat(daemon.address, "a1", "lookup", 300).await;
             assert!((400..600).contains(&answer.status), "{}", answer.status);
         }
