--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -36,7 +36,7 @@
     let mut first_chunk = None;
     if let Reply::Events(events) = &mut engine_reply.reply {
         let ended_early =
-            || AttemptError::new(Progress::FullyWritten, "the answer ended before its first event");
+            || AttemptError::new(Progress::FullyWritten, "the response ended before its first event");
         first_chunk = Some(poll_fn(|context| events.poll_event(context)).await.ok_or_else(ended_early)??);
     }
     Ok(StartedReply { engine_reply, first_chunk })
