--- a/src/config/inference.rs
+++ b/src/config/inference.rs
@@ -1,6 +1,6 @@
 //! Configuration file of the embeddings and rerank API.
 
-use super::{ConfigError, List, config_error};
+use super::{ConfigError, EngineList, config_error};
 use crate::interface::{Class, Effect, Micros, Role, Settings};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -64,7 +64,7 @@
     pub membership_mode: Option<MembershipMode>,
     /// List of engines to start with, before discovery has answered.
     #[serde(default)]
-    pub known: Option<List>,
+    pub known: Option<EngineList>,
 }
 
 fn default_max_inputs() -> usize {
--- a/src/config/list.rs
+++ b/src/config/list.rs
@@ -11,12 +11,13 @@
 
 /// A list of engines, or a change to the list, in discovery's format.
 #[derive(Clone, Debug, Deserialize)]
-pub struct List {
+pub struct EngineList {
     /// Revision of the list after this update.
-    pub rev: u64,
+    #[serde(rename = "rev")]
+    pub revision: u64,
     /// True if `targets` is the complete list, false if it holds only changed entries.
-    #[serde(default)]
-    pub all: bool,
+    #[serde(default, rename = "all")]
+    pub is_full: bool,
     /// Entries of the list. A malformed entry is skipped without affecting the others.
     #[serde(default, deserialize_with = "deserialize_valid_targets")]
     pub targets: Vec<Target>,
@@ -50,7 +51,7 @@
 
 /// Names of the entries that the settings refer to by index.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Names {
+pub struct NameTables {
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Names of the engine kinds.
@@ -69,12 +70,12 @@
 /// Assigns ids to engines. All gateways derive the same id from a uid unless the hashes of two uids collide.
 /// Ids of unlisted engines are removed, because new uids appear for as long as the gateway runs.
 #[derive(Debug, Default)]
-pub struct Numbers {
+pub struct ServerIds {
     by_uid: HashMap<String, u32>,
     taken: HashSet<u32>,
 }
 
-impl Numbers {
+impl ServerIds {
     /// Returns the id of a uid. The id stays the same for as long as the uid is listed, even when another
     /// engine whose uid has the same hash is removed.
     pub(super) fn id_for(&mut self, uid: &str) -> ServerId {
@@ -91,7 +92,7 @@
     }
 
     /// Returns true if the engine is in the list received so far.
-    pub fn knows(&self, target: &Target) -> bool {
+    pub fn contains(&self, target: &Target) -> bool {
         self.by_uid.contains_key(&target.uid)
     }
 
@@ -122,13 +123,13 @@
         self.condition() == Condition::Ready
     }
 
-    fn to_listed(&self, names: &Names, numbers: &mut Numbers) -> Option<ListedEngine> {
+    fn to_listed(&self, names: &NameTables, server_ids: &mut ServerIds) -> Option<ListedEngine> {
         let Some(kind) = index_of(&names.kinds, &self.model) else {
             log::debug!("list entry of an unknown model skipped uid={} model={}", self.uid, self.model);
             return None;
         };
         let entry = Entry {
-            server: numbers.id_for(&self.uid),
+            server: server_ids.id_for(&self.uid),
             zone: index_of(&names.zones, &self.az).map_or(u32::MAX, |zone| zone as u32),
             cell: self.pod_group,
             kind,
@@ -143,16 +144,16 @@
     }
 }
 
-impl List {
+impl EngineList {
     /// Converts the list to a change for the gateway and frees the ids of engines that are no longer listed.
-    pub fn change(&self, names: &Names, numbers: &mut Numbers) -> Change {
+    pub fn to_change(&self, names: &NameTables, server_ids: &mut ServerIds) -> Change {
         let content = ChangeContent::Roster {
-            form: if self.all { RosterForm::Full } else { RosterForm::Delta },
-            engines: self.targets.iter().filter_map(|t| t.to_listed(names, numbers)).collect(),
+            form: if self.is_full { RosterForm::Full } else { RosterForm::Delta },
+            engines: self.targets.iter().filter_map(|t| t.to_listed(names, server_ids)).collect(),
         };
         let by_uid: HashMap<&str, &Target> = self.targets.iter().map(|t| (t.uid.as_str(), t)).collect();
-        numbers.retain(|uid| by_uid.get(uid).map_or(!self.all, |target| target.state != GONE));
-        Change { revision: self.rev, content }
+        server_ids.retain(|uid| by_uid.get(uid).map_or(!self.is_full, |target| target.state != GONE));
+        Change { revision: self.revision, content }
     }
 }
 
@@ -173,9 +174,9 @@
     fn malformed_entry_does_not_discard_the_others(#[case] malformed: &str) {
         let valid = r#"{"uid":"s-1","endpoint":"e:1","model":"k","state":"DRAINING"}"#;
         let text = format!(r#"{{"rev":3,"all":true,"targets":[{malformed},{valid}]}}"#);
-        let list: List = serde_json::from_str(&text).expect("the list can be decoded");
-        let names = Names { kinds: vec!["k".into()], ..Names::default() };
-        let ChangeContent::Roster { engines, .. } = list.change(&names, &mut Numbers::default()).content
+        let list: EngineList = serde_json::from_str(&text).expect("the list can be decoded");
+        let names = NameTables { kinds: vec!["k".into()], ..NameTables::default() };
+        let ChangeContent::Roster { engines, .. } = list.to_change(&names, &mut ServerIds::default()).content
         else {
             panic!("the change is no roster");
         };
@@ -191,12 +192,12 @@
     fn server_keeps_its_id_when_a_server_with_a_colliding_hash_is_removed() {
         const COLLIDING: [&str; 2] = ["s-000179bb", "s-00054848"];
         let target = |uid: &str, state: &str| serde_json::json!({"uid": uid, "endpoint": "e", "model": "k", "state": state});
-        let names = Names { kinds: vec!["k".into()], ..Names::default() };
-        let mut numbers = Numbers::default();
+        let names = NameTables { kinds: vec!["k".into()], ..NameTables::default() };
+        let mut server_ids = ServerIds::default();
         let mut apply = |targets: Vec<serde_json::Value>| {
             let list = serde_json::json!({"rev": 1, "all": false, "targets": targets});
-            let list: List = serde_json::from_value(list).expect("the list can be decoded");
-            match list.change(&names, &mut numbers).content {
+            let list: EngineList = serde_json::from_value(list).expect("the list can be decoded");
+            match list.to_change(&names, &mut server_ids).content {
                 ChangeContent::Roster { engines, .. } => {
                     engines.iter().map(|e| e.entry.server).collect::<Vec<_>>()
                 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -8,9 +8,9 @@
 
 pub use bounds::{Bounds, Resources};
 pub use inference::{Api, Inference, InferencePool, MembershipMode, RepeatEffect};
-pub use list::{List, Names, Numbers, Target, index_of};
+pub use list::{EngineList, NameTables, ServerIds, Target, index_of};
 pub use reload::Reload;
-pub use shared::{OperatorCommands, Shared};
+pub use shared::{OperatorCommands, SharedState};
 
 use crate::interface::{Class, Effect, Group, Load, Micros, Role, Settings};
 use serde::Deserialize;
@@ -155,14 +155,14 @@
 
 /// Names of the load report's fields that hold the values used by the decision module.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct LoadNames {
+pub struct LoadReportFields {
     memory_share: Option<String>,
     queued_kilotokens: Option<String>,
 }
 
-impl LoadNames {
+impl LoadReportFields {
     /// Parses a report; a field that is missing or malformed is absent from the result.
-    pub fn read(&self, report: &[u8]) -> Load {
+    pub fn parse(&self, report: &[u8]) -> Load {
         let report: serde_json::Value = serde_json::from_slice(report).unwrap_or_default();
         let non_negative = |name: &Option<String>| {
             let value = report.get(name.as_deref()?)?.as_f64()?;
@@ -195,13 +195,13 @@
     /// Limits on the memory and file descriptors of the process.
     pub resources: Resources,
     /// List of engines that the gateway held before its restart.
-    pub known: Option<List>,
+    pub known: Option<EngineList>,
     /// Settings of the decision module.
     pub settings: Settings,
     /// Names of the entries that the settings refer to by index.
-    pub names: Names,
+    pub names: NameTables,
     /// Names of the fields in load reports.
-    pub load: LoadNames,
+    pub load: LoadReportFields,
     /// Timeout for establishing a connection to an engine.
     pub dial_timeout: Duration,
     /// Time after which engines close an idle connection.
@@ -213,9 +213,9 @@
 /// The part of a configuration that changes only when the program is restarted.
 #[derive(Clone, Debug, PartialEq)]
 struct RestartOnly {
-    names: Names,
+    names: NameTables,
     roles: Vec<Role>,
-    load: LoadNames,
+    load: LoadReportFields,
     dial_timeout: Duration,
     idle_limit: Duration,
     resume: bool,
@@ -250,14 +250,14 @@
         let file: ConfigFile = serde_json::from_slice(text).map_err(config_error)?;
         let section = &file.settings;
         let settings = decision_settings(section)?;
-        let names = Names {
+        let names = NameTables {
             zones: section.zones.clone(),
             kinds: section.kinds.clone(),
             classes: section.categories.iter().map(|category| category.name.clone()).collect(),
             tenants: section.projects.iter().map(|project| project.name.clone()).collect(),
         };
         Ok(Self {
-            load: LoadNames {
+            load: LoadReportFields {
                 memory_share: memory_share_field(section),
                 queued_kilotokens: report_field(section, "prompt tokens"),
             },
@@ -281,7 +281,7 @@
 
 /// Decodes the list of engines held before a restart. A malformed list does not prevent the start, because
 /// discovery supplies a new list.
-fn decode_known_list(list: serde_json::Value) -> Option<List> {
+fn decode_known_list(list: serde_json::Value) -> Option<EngineList> {
     serde_json::from_value(list).map_err(|e| log::warn!("known list ignored: {e}")).ok()
 }
 
@@ -400,9 +400,11 @@
             (settings.classes[0].first_token_target, settings.classes[0].inter_token_target),
             (1_500_000, 70_000)
         );
-        assert_eq!(config.load.read(br#"{"active":7,"x0":0.5}"#).memory_share, Some(0.5));
-        let change =
-            config.known.expect("the file has a known list").change(&config.names, &mut Numbers::default());
+        assert_eq!(config.load.parse(br#"{"active":7,"x0":0.5}"#).memory_share, Some(0.5));
+        let change = config
+            .known
+            .expect("the file has a known list")
+            .to_change(&config.names, &mut ServerIds::default());
         let crate::gateway::ChangeContent::Roster { engines, .. } = change.content else {
             panic!("the change is no roster")
         };
@@ -458,8 +460,8 @@
     #[test]
     fn engine_id_does_not_depend_on_earlier_engines() {
         let ids = |uids: &[&str]| {
-            let mut numbers = Numbers::default();
-            uids.iter().map(|uid| numbers.id_for(uid)).collect::<Vec<_>>()
+            let mut server_ids = ServerIds::default();
+            uids.iter().map(|uid| server_ids.id_for(uid)).collect::<Vec<_>>()
         };
         assert_eq!(ids(&["s-1", "s-2"])[1], ids(&["s-2"])[0]);
     }
--- a/src/config/shared.rs
+++ b/src/config/shared.rs
@@ -21,7 +21,7 @@
 
 /// State shared by the processes of one gateway. Without a folder the state is private to this process.
 #[derive(Clone, Debug)]
-pub struct Shared {
+pub struct SharedState {
     folder: Option<Rc<Path>>,
     /// Identifier that distinguishes this process from the other processes of the gateway.
     process_tag: Rc<str>,
@@ -31,7 +31,7 @@
     withheld: Rc<RefCell<EngineNames>>,
 }
 
-impl Shared {
+impl SharedState {
     /// Opens the state that the processes of the named gateway share in a folder inside `parent`. A folder
     /// that cannot be read or written for a while does not prevent the start: the folder is polled until the
     /// persisted commands have been read.
@@ -137,13 +137,13 @@
 
 /// Source of changes to the set of withheld engines. The first change is the set at the start.
 pub struct OperatorCommands {
-    shared: Shared,
+    shared: SharedState,
     revision: u64,
 }
 
 impl OperatorCommands {
     /// Creates a source of the commands persisted in the shared folder.
-    pub fn new(shared: Shared) -> Self {
+    pub fn new(shared: SharedState) -> Self {
         Self { shared, revision: 0 }
     }
 }
@@ -183,7 +183,7 @@
     #[tokio::test(start_paused = true)]
     async fn command_applies_in_both_processes() {
         let folder = tempfile::tempdir().expect("a temporary folder can be created");
-        let process = || Shared::new(Some(folder.path().into()), "n/3");
+        let process = || SharedState::new(Some(folder.path().into()), "n/3");
         let old = process();
         old.withhold("s-1", true).expect("the command is persisted");
         let new = process();
@@ -205,7 +205,7 @@
     #[tokio::test(start_paused = true)]
     async fn command_of_another_process_applies_although_a_local_command_fails() {
         let folder = tempfile::tempdir().expect("a temporary folder can be created");
-        let process = || Shared::new(Some(folder.path().into()), "n3");
+        let process = || SharedState::new(Some(folder.path().into()), "n3");
         let (old, new) = (process(), process());
         let mut commands = OperatorCommands::new(new.clone());
         assert_eq!(withheld_names(commands.next().await), Vec::<String>::new());
@@ -227,7 +227,7 @@
         let folder = tempfile::tempdir().expect("a temporary folder can be created");
         let blocking_file = folder.path().join("meadowlug-n3");
         fs::write(&blocking_file, "in the way").expect("the file can be written");
-        let shared = Shared::new(Some(folder.path().into()), "n3");
+        let shared = SharedState::new(Some(folder.path().into()), "n3");
         assert!(!shared.is_loaded() && shared.withhold("s-1", true).is_err());
         fs::remove_file(&blocking_file).expect("the file can be removed");
         assert!(shared.refresh().is_ok() && shared.is_loaded());
@@ -238,7 +238,7 @@
     #[test]
     fn process_detects_that_it_is_superseded() {
         let folder = tempfile::tempdir().expect("a temporary folder can be created");
-        let process = |name| Shared::new(Some(folder.path().into()), name);
+        let process = |name| SharedState::new(Some(folder.path().into()), name);
         let (old, new, other) = (process("n3"), process("n3"), process("n4"));
         assert!(!old.is_superseded());
         old.claim().expect("the claim is persisted");
@@ -246,7 +246,7 @@
         assert!(!old.is_superseded());
         new.claim().expect("the claim is persisted");
         assert!(old.is_superseded() && !new.is_superseded());
-        let alone = Shared::new(None, "n3");
+        let alone = SharedState::new(None, "n3");
         alone.claim().expect("without a folder nothing is written");
         assert!(!alone.is_superseded());
     }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -106,8 +106,9 @@
             tuning.limits.max_retained_bytes = tuning.limits.max_body_bytes;
             let max_answer = self.bounds.max_answer_bytes;
             let engines =
-                HttpEngines::new(self.pool.clone(), config::LoadNames::default(), false, max_answer);
-            let names = config::Names { kinds: vec![pool.model.clone()], ..config::Names::default() };
+                HttpEngines::new(self.pool.clone(), config::LoadReportFields::default(), false, max_answer);
+            let names =
+                config::NameTables { kinds: vec![pool.model.clone()], ..config::NameTables::default() };
             let mode = pool.membership_mode.map(|mode| mode == config::MembershipMode::Ask);
             let asking = Asking { shared: mode.unwrap_or(self.asking.shared), ..self.asking };
             let roster = Watch::new(constant_address(&pool.discovery), names, pool.known.clone(), asking);
@@ -126,7 +127,7 @@
 
 /// Records that this process accepts clients, as soon as it can serve. Readiness is reported only afterwards,
 /// because an operator who sees this process ready may immediately stop the gateway's other process.
-fn claim_when_ready(chat: &Gateway<HttpEngines>, shared: &config::Shared) {
+fn claim_when_ready(chat: &Gateway<HttpEngines>, shared: &config::SharedState) {
     let (chat, shared) = (chat.clone(), shared.clone());
     tokio::task::spawn_local(async move {
         while !(shared.is_loaded() && chat.can_serve()) {
@@ -159,11 +160,11 @@
 }
 
 /// Listener for operators, and the state shared by the processes of one gateway.
-pub struct Operation {
+pub struct OperatorInterface {
     /// Listener for operators' requests, if management is enabled.
     pub management: Option<TcpListener>,
     /// Operator commands, and the identifier of the process that accepts clients.
-    pub shared: config::Shared,
+    pub shared: config::SharedState,
 }
 
 /// Serves on the listener until `stop` completes and the open requests have ended. `reload` updates the
@@ -173,7 +174,7 @@
     inference: Option<config::Inference>,
     reload: Option<config::Reload>,
     listener: TcpListener,
-    operation: Operation,
+    operator_interface: OperatorInterface,
     stop: impl Future<Output = ()>,
 ) -> Result<(), Box<dyn Error>> {
     let bounds = Bounds::from(config.resources);
@@ -201,7 +202,7 @@
         reload.as_ref().map_or_else(|| constant_address(&config.discovery), config::Reload::discovery);
     let roster = Watch::new(address, config.names.clone(), config.known, asking);
     let chat = drivers.start("chat", config.settings, driver_tuning(&bounds), engines, roster)?;
-    let Operation { management, shared } = operation;
+    let OperatorInterface { management, shared } = operator_interface;
     tokio::task::spawn_local(forward_changes(config::OperatorCommands::new(shared.clone()), chat.clone()));
     if let Some(reload) = reload {
         tokio::task::spawn_local(forward_changes(reload, chat.clone()));
--- a/src/front/management.rs
+++ b/src/front/management.rs
@@ -1,7 +1,7 @@
 //! Front for operators: readiness of this process, metrics, withholding of engines, and drain of the gateway.
 
 use super::reply;
-use crate::config::Shared;
+use crate::config::SharedState;
 use crate::gateway::{Change, ChangeContent, Gateway, PREFIX};
 use crate::net::{Front, FrontBody, HttpEngines, Phase};
 use bytes::Bytes;
@@ -27,7 +27,7 @@
     /// Number of attempts that were completely written to an engine.
     pub sent_attempts: Rc<Cell<u64>>,
     /// State shared with the other processes of the gateway, which persists operator commands.
-    pub shared: Shared,
+    pub shared: SharedState,
     /// Current phase of a drain or a planned stop.
     pub phase: Rc<watch::Sender<Phase>>,
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -11,7 +11,7 @@
 pub use management::Management;
 pub use platform::Platform;
 
-use crate::config::Shared;
+use crate::config::SharedState;
 use crate::gateway::Rejected;
 use crate::net::{ClosedConnection, Front, FrontBody, Phase};
 use bytes::Bytes;
@@ -28,7 +28,7 @@
     /// Current phase of a drain or a planned stop.
     pub phase: watch::Receiver<Phase>,
     /// State shared with the gateway's other processes. The operator commands must be loaded before serving.
-    pub shared: Shared,
+    pub shared: SharedState,
 }
 
 impl Fronts {
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -4,7 +4,7 @@
     BodyReader, CHARS_PER_TOKEN, ReceivedRequest, header_text, parse_duration, parse_request_id,
 };
 use super::reply;
-use crate::config::{Names, index_of};
+use crate::config::{NameTables, index_of};
 use crate::gateway::{Gateway, Invariant, RequestResult, Submission, Ticket};
 use crate::interface::{Arrival, Class, Micros, RequestId};
 use crate::net::{ClosedConnection, FrontBody, HttpEngines, Job, Manner};
@@ -16,13 +16,13 @@
 /// Front for the platform's protocol.
 pub struct Platform {
     gateway: Gateway<HttpEngines>,
-    names: Names,
+    names: NameTables,
     body_reader: Rc<BodyReader>,
 }
 
 impl Platform {
     /// Creates a front for the gateway, with the names of the classes and tenants in client requests.
-    pub fn new(gateway: Gateway<HttpEngines>, names: Names, body_reader: Rc<BodyReader>) -> Self {
+    pub fn new(gateway: Gateway<HttpEngines>, names: NameTables, body_reader: Rc<BodyReader>) -> Self {
         Self { gateway, names, body_reader }
     }
 
@@ -104,7 +104,7 @@
 /// Parses the headers of a chat request whose body has `body_bytes` bytes.
 fn parse_arrival(
     headers: &HeaderMap,
-    names: &Names,
+    names: &NameTables,
     classes: &[Class],
     body_bytes: usize,
 ) -> Result<Arrival, String> {
@@ -162,10 +162,10 @@
         for (name, value) in required.iter().chain(extra) {
             headers.insert(*name, HeaderValue::from_static(value));
         }
-        let names = Names {
+        let names = NameTables {
             classes: vec!["chat".into(), "lookup".into()],
             tenants: vec!["desk".into()],
-            ..Names::default()
+            ..NameTables::default()
         };
         parse_arrival(&headers, &names, &[Class::default(), Class { deadline: 7, ..Class::default() }], 400)
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! The meadowlug gateway: reads the configuration and serves requests until the process is asked to stop.
 #![forbid(unsafe_code)]
 
-use meadowlug::config::{Config, Inference, Reload, Shared};
+use meadowlug::config::{Config, Inference, Reload, SharedState};
 use meadowlug::{daemon, net};
 use std::error::Error;
 use std::process::ExitCode;
@@ -32,9 +32,10 @@
     // Without a management address there are no operator commands and no handover to a new version, so
     // nothing is shared between processes.
     let folder = std::env::var_os("TMPDIR").filter(|_| management.is_some()).map(Into::into);
-    let operation = daemon::Operation { management, shared: Shared::new(folder, &config.name) };
+    let operator_interface =
+        daemon::OperatorInterface { management, shared: SharedState::new(folder, &config.name) };
     let reload = Reload::new(path.into(), &config, reload_requests);
-    daemon::run(config, inference, Some(reload), listener, operation, stop_requested).await
+    daemon::run(config, inference, Some(reload), listener, operator_interface, stop_requested).await
 }
 
 fn main() -> ExitCode {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -6,7 +6,7 @@
 use super::backoff::{Asking, Backoff, CALL_GRACE, Opening};
 use super::pool::{Channel, Pool, PoolLimits};
 use super::transport::WriteWatch;
-use crate::config::{List, Names, Numbers};
+use crate::config::{EngineList, NameTables, ServerIds};
 use crate::gateway::{AttemptError, Change, Changes, Progress};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -58,7 +58,7 @@
     /// Requests the changes since the known revision, or the whole list. On an open watch the call is a
     /// renewal. A call that opens a watch has a shorter timeout and a shorter wait for updates, since nothing
     /// shows yet that a server listens at the address.
-    async fn request_update(&mut self, open: bool) -> Result<List, AttemptError> {
+    async fn request_update(&mut self, open: bool) -> Result<EngineList, AttemptError> {
         let (wait, call_timeout) = if open {
             (MAX_WAIT, MAX_WAIT + CALL_GRACE)
         } else {
@@ -66,7 +66,7 @@
         };
         let path = match self.revision {
             None => "/v1/endpoints".to_owned(),
-            Some(rev) => format!("/v1/endpoints?index={rev}&wait={}", wait.as_millis()),
+            Some(revision) => format!("/v1/endpoints?index={revision}&wait={}", wait.as_millis()),
         };
         let request = Request::get(path).header(HOST, &*self.address).body(Full::new(Bytes::new()));
         let request = request.map_err(|e| AttemptError::new(Progress::NotConnected, e))?;
@@ -98,18 +98,18 @@
 
     /// Sends every response that carries an update to the channel until its receiver is dropped. A source
     /// that knows a revision opens its watch from that revision.
-    async fn run(mut self, opening: Opening, number: u64, lists: mpsc::Sender<(u64, List)>) {
+    async fn run(mut self, opening: Opening, number: u64, lists: mpsc::Sender<(u64, EngineList)>) {
         tokio::time::sleep(self.backoff.first_call_delay(opening)).await;
         let mut open = false;
         loop {
             let call_started = Instant::now();
             match self.request_update(open).await {
-                Ok(list) if !list.all && self.revision.is_some_and(|known| list.rev < known) => {
+                Ok(list) if !list.is_full && self.revision.is_some_and(|known| list.revision < known) => {
                     // These changes apply to another list than the known one.
                     log::warn!(
                         "discovery at={} revision went backwards rev={}: requesting the whole list",
                         self.address,
-                        list.rev
+                        list.revision
                     );
                     self.revision = None;
                     tokio::time::sleep(self.backoff.record_failure(call_started.elapsed()).0).await;
@@ -122,8 +122,8 @@
                     if failures > 0 {
                         log::info!("discovery responds again at={} after failures={failures}", self.address);
                     }
-                    self.revision = Some(list.rev);
-                    let has_update = first_response || list.all || !list.targets.is_empty();
+                    self.revision = Some(list.revision);
+                    let has_update = first_response || list.is_full || !list.targets.is_empty();
                     if has_update && lists.send((number, list)).await.is_err() {
                         return;
                     }
@@ -148,10 +148,10 @@
 
 /// A watch at the discovery address that was configured last.
 pub struct Watch {
-    names: Names,
-    numbers: Numbers,
+    names: NameTables,
+    server_ids: ServerIds,
     /// The list that the gateway last persisted, until it is passed on as the first change.
-    known: Option<List>,
+    known: Option<EngineList>,
     address: watch::Receiver<Arc<str>>,
     asking: Asking,
     /// Sources with their numbers; once the newest has responded, all older ones are stopped.
@@ -165,8 +165,8 @@
     behind: Option<(u64, Instant)>,
     /// The source whose list is accepted whatever its revision.
     accepted_source: u64,
-    lists: mpsc::Receiver<(u64, List)>,
-    list_sender: mpsc::Sender<(u64, List)>,
+    lists: mpsc::Receiver<(u64, EngineList)>,
+    list_sender: mpsc::Sender<(u64, EngineList)>,
 }
 
 impl Watch {
@@ -174,15 +174,15 @@
     /// configured last, or, at a shared service, only the changes since the known list.
     pub fn new(
         address: watch::Receiver<Arc<str>>,
-        names: Names,
-        known: Option<List>,
+        names: NameTables,
+        known: Option<EngineList>,
         asking: Asking,
     ) -> Self {
         let (list_sender, lists) = mpsc::channel(1);
-        let numbers = Numbers::default();
+        let server_ids = ServerIds::default();
         let mut watch = Self {
             names,
-            numbers,
+            server_ids,
             known,
             address,
             asking,
@@ -194,7 +194,7 @@
             lists,
             list_sender,
         };
-        let known_revision = watch.known.as_ref().map(|known| known.rev);
+        let known_revision = watch.known.as_ref().map(|known| known.revision);
         watch.open_source(known_revision.map_or(Opening::Blank, |_| Opening::Known), known_revision);
         watch
     }
@@ -218,26 +218,31 @@
 
     /// Returns the applied revision if a response is older than
     /// it and comes from an address that is not followed yet.
-    fn applied_if_older(&self, number: u64, list: &List) -> Option<u64> {
+    fn applied_if_older(&self, number: u64, list: &EngineList) -> Option<u64> {
         let followed = self.sources.first().is_some_and(|(oldest, _)| number <= *oldest);
         self.revision.filter(|known_revision| {
-            !followed && number != self.accepted_source && list.rev < *known_revision
+            !followed && number != self.accepted_source && list.revision < *known_revision
         })
     }
 
     /// Returns the part of an older response that is applied: drains are, whichever address reports them. It
     /// puts no engine back into use and removes none that it lacks.
-    fn change_from_older(&mut self, number: u64, known_revision: u64, mut list: List) -> Option<Change> {
+    fn change_from_older(
+        &mut self,
+        number: u64,
+        known_revision: u64,
+        mut list: EngineList,
+    ) -> Option<Change> {
         if self.behind.is_none_or(|(source, _)| source != number) {
             log::warn!(
                 "discovery reports an older revision rev={} known={known_revision}: known engines stay in use",
-                list.rev
+                list.revision
             );
             self.behind = Some((number, Instant::now() + BEHIND_TIMEOUT));
         }
-        list.targets.retain(|target| !target.is_serving() && self.numbers.knows(target));
-        (list.rev, list.all) = (known_revision, false);
-        (!list.targets.is_empty()).then(|| list.change(&self.names, &mut self.numbers))
+        list.targets.retain(|target| !target.is_serving() && self.server_ids.contains(target));
+        (list.revision, list.is_full) = (known_revision, false);
+        (!list.targets.is_empty()).then(|| list.to_change(&self.names, &mut self.server_ids))
     }
 
     /// Accepts the list of an address that still reports an older revision
@@ -278,9 +283,9 @@
 impl Changes for Watch {
     async fn next(&mut self) -> Option<Change> {
         if let Some(mut known) = self.known.take() {
-            known.all = true;
-            self.revision = Some(known.rev);
-            return Some(known.change(&self.names, &mut self.numbers));
+            known.is_full = true;
+            self.revision = Some(known.revision);
+            return Some(known.to_change(&self.names, &mut self.server_ids));
         }
         loop {
             let rejected_until = self.behind.map_or_else(Instant::now, |(_, until)| until);
@@ -291,8 +296,8 @@
                             return Some(change);
                         }
                     } else if self.accept(number) {
-                        self.revision = Some(list.rev);
-                        return Some(list.change(&self.names, &mut self.numbers));
+                        self.revision = Some(list.revision);
+                        return Some(list.to_change(&self.names, &mut self.server_ids));
                     }
                 }
                 Ok(()) = self.address.changed() => {
--- a/src/net/engines.rs
+++ b/src/net/engines.rs
@@ -3,7 +3,7 @@
 use super::events::Events;
 use super::pool::{Channel, Pool};
 use super::transport::WriteWatch;
-use crate::config::LoadNames;
+use crate::config::LoadReportFields;
 use crate::gateway::{AttemptError, Call, EngineReply, Engines, EventStream, Progress, Reply};
 use crate::interface::{Load, RequestId};
 use bytes::Bytes;
@@ -51,7 +51,7 @@
 /// The engines behind a pool of connections.
 pub struct HttpEngines {
     pool: Rc<Pool>,
-    load: LoadNames,
+    load: LoadReportFields,
     /// True if engines hold KV-cache state that must be released.
     stateful: bool,
     /// Maximum size of one response, in bytes.
@@ -63,7 +63,7 @@
 impl HttpEngines {
     /// Creates the client. `stateful` is true if engines hold state between the stages of a request;
     /// `answer_bytes` is the maximum size of a response in bytes.
-    pub fn new(pool: Rc<Pool>, load: LoadNames, stateful: bool, answer_bytes: usize) -> Self {
+    pub fn new(pool: Rc<Pool>, load: LoadReportFields, stateful: bool, answer_bytes: usize) -> Self {
         Self { pool, load, stateful, answer_bytes, tries: Rc::default() }
     }
 
@@ -162,7 +162,7 @@
         &self,
         call: Call<Job>,
     ) -> impl Future<Output = Result<EngineReply<HttpEvents>, AttemptError>> + 'static {
-        let (pool, load_names, max_bytes) = (self.pool.clone(), self.load.clone(), self.answer_bytes);
+        let (pool, load_fields, max_bytes) = (self.pool.clone(), self.load.clone(), self.answer_bytes);
         let tries = self.tries.clone();
         async move {
             let mut channel = pool.acquire(&call.endpoint).await?;
@@ -175,7 +175,7 @@
             let response = channel.send(request, call.job.body.len(), watch).await?;
             let (head, body) = response.into_parts();
             let load =
-                head.headers.get("srv-load").map_or(Load::default(), |l| load_names.read(l.as_bytes()));
+                head.headers.get("srv-load").map_or(Load::default(), |l| load_fields.parse(l.as_bytes()));
             if call.job.manner == Manner::Staged && head.status == StatusCode::OK {
                 let connected_at = channel.opened;
                 let (events, connection) = (Events::new(max_bytes), Some((pool, call.endpoint, channel)));
@@ -214,7 +214,7 @@
     }
 
     fn probe(&self, endpoint: Arc<str>) -> impl Future<Output = Result<Load, AttemptError>> + 'static {
-        let (pool, load_names) = (self.pool.clone(), self.load.clone());
+        let (pool, load_fields) = (self.pool.clone(), self.load.clone());
         async move {
             let request = request(Method::GET, &endpoint, "/status/load", Bytes::new())?;
             let mut channel = pool.acquire(&endpoint).await?;
@@ -223,7 +223,7 @@
             let body = read_body(&channel, response.into_body(), MAX_STATUS_BODY_BYTES).await?;
             pool.put_back(endpoint, channel);
             let failed = || AttemptError::new(Progress::FullyWritten, format!("status {status}"));
-            status.is_success().then(|| load_names.read(&body)).ok_or_else(failed)
+            status.is_success().then(|| load_fields.parse(&body)).ok_or_else(failed)
         }
     }
 
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -2,7 +2,7 @@
 
 mod loopback;
 use loopback::*;
-use meadowlug::config::{List, Names};
+use meadowlug::config::{EngineList, NameTables};
 use meadowlug::gateway::{Change, ChangeContent, Changes};
 use meadowlug::net::{Asking, Watch};
 use rstest::rstest;
@@ -51,9 +51,9 @@
 /// Returns a watch that knows one engine, and the sender that configures another address.
 fn watch(address: &str, shared: bool) -> (Watch, tokio::sync::watch::Sender<Arc<str>>) {
     let (address_sender, address) = tokio::sync::watch::channel(address.into());
-    let names = Names { kinds: vec!["reader".into()], ..Names::default() };
+    let names = NameTables { kinds: vec!["reader".into()], ..NameTables::default() };
     let known_json = r#"{"rev":4,"all":true,"targets":[{"uid":"r1","endpoint":"e:1","model":"reader","state":"SERVING"}]}"#;
-    let known: List = serde_json::from_str(known_json).expect("a valid list");
+    let known: EngineList = serde_json::from_str(known_json).expect("a valid list");
     (
         Watch::new(address, names, Some(known), Asking { shared, gateways: 2, ..Asking::agent(9) }),
         address_sender,
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -2,8 +2,8 @@
 //! kind, discovery, and a client; and a daemon between them.
 #![allow(dead_code)] // each test file uses its own part
 
-use meadowlug::config::{Config, Inference, Reload, Shared};
-use meadowlug::daemon::Operation;
+use meadowlug::config::{Config, Inference, Reload, SharedState};
+use meadowlug::daemon::OperatorInterface;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -430,13 +430,13 @@
         let address = listener.local_addr().expect("the listener has an address");
         let management_listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let management = management_listener.local_addr().expect("the listener has an address");
-        let shared = Shared::new(None, "n0");
-        let operation = Operation { management: Some(management_listener), shared };
+        let shared = SharedState::new(None, "n0");
+        let operator_interface = OperatorInterface { management: Some(management_listener), shared };
         let stop = Rc::new(Notify::new());
         let stop_requested = stop.clone();
         let ended = spawn_local(async move {
             let stop = async move { stop_requested.notified().await };
-            meadowlug::daemon::run(config, inference, Some(reload), listener, operation, stop)
+            meadowlug::daemon::run(config, inference, Some(reload), listener, operator_interface, stop)
                 .await
                 .expect("the daemon ends without an error");
         });
