--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -186,8 +186,9 @@
     pub discovery: String,
     /// True if discovery is one service that all gateways query, false if each gateway has a local agent.
     pub shared_discovery: bool,
-    /// Time after which the protocol counts a gateway without a discovery watch as informed of the list.
-    pub informed_after: Duration,
+    /// Time after which the protocol counts a change to the list as announced, even to a gateway
+    /// without an open watch.
+    pub announced_after: Duration,
     /// Address that operators connect to, if management is enabled.
     pub management: Option<String>,
     /// Seed of the random numbers.
@@ -220,7 +221,7 @@
     idle_limit: Duration,
     resume: bool,
     shared_discovery: bool,
-    informed_after: Duration,
+    announced_after: Duration,
 }
 
 fn micros(ms: f64) -> Micros {
@@ -241,7 +242,7 @@
             idle_limit: self.idle_limit,
             resume: self.resume,
             shared_discovery: self.shared_discovery,
-            informed_after: self.informed_after,
+            announced_after: self.announced_after,
         }
     }
 
@@ -271,7 +272,7 @@
             listen: file.listen,
             discovery: file.discovery,
             shared_discovery: section.membership_mode == "ask",
-            informed_after: Duration::from_micros(micros_or(section.rules.ask_within_ms, 10_000_000)),
+            announced_after: Duration::from_micros(micros_or(section.rules.ask_within_ms, 10_000_000)),
             management: file.management,
             resources: file.limits,
             known: file.known.and_then(decode_known_list),
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -6,7 +6,7 @@
 use crate::front::{BodyReader, Fronts, Inference, Management, Model, Platform};
 use crate::gateway::{self, ChangeContent, Changes, Gateway, Tuning};
 use crate::interface::Settings;
-use crate::net::{self, Asking, HttpEngines, Phase, Pool, PoolLimits, ServeLimits, Watch};
+use crate::net::{self, DiscoveryCallParams, HttpEngines, Phase, Pool, PoolLimits, ServeLimits, Watch};
 use std::error::Error;
 use std::future::Future;
 use std::rc::Rc;
@@ -73,7 +73,7 @@
     pool: Rc<Pool>,
     bounds: Bounds,
     seed: u64,
-    asking: Asking,
+    call_params: DiscoveryCallParams,
     ended: mpsc::Sender<String>,
 }
 
@@ -110,8 +110,10 @@
             let names =
                 config::NameTables { kinds: vec![pool.model.clone()], ..config::NameTables::default() };
             let mode = pool.membership_mode.map(|mode| mode == config::MembershipMode::Ask);
-            let asking = Asking { shared: mode.unwrap_or(self.asking.shared), ..self.asking };
-            let roster = Watch::new(constant_address(&pool.discovery), names, pool.known.clone(), asking);
+            let call_params =
+                DiscoveryCallParams { shared: mode.unwrap_or(self.call_params.shared), ..self.call_params };
+            let roster =
+                Watch::new(constant_address(&pool.discovery), names, pool.known.clone(), call_params);
             let gateway = self.start(&pool.model, file.settings(pool), tuning, engines, roster)?;
             models.push(Model {
                 name: pool.model.clone(),
@@ -189,18 +191,18 @@
     // The id differs between processes even if their configured seeds are missing or equal: gateways with the
     // same seed would query discovery at the same moments.
     let instance_id = gateway::Clock::default().now() ^ config.seed.rotate_left(32);
-    let asking = Asking {
+    let call_params = DiscoveryCallParams {
         shared: config.shared_discovery,
         gateways: config.settings.replicas,
         seed: instance_id,
-        told_after: config.informed_after,
+        announced_after: config.announced_after,
     };
-    let drivers = Drivers { pool: pool.clone(), bounds, seed: config.seed, asking, ended };
+    let drivers = Drivers { pool: pool.clone(), bounds, seed: config.seed, call_params, ended };
     let engines = HttpEngines::new(pool.clone(), config.load.clone(), true, bounds.max_answer_bytes);
     let sent_attempts = engines.tries();
     let address =
         reload.as_ref().map_or_else(|| constant_address(&config.discovery), config::Reload::discovery);
-    let roster = Watch::new(address, config.names.clone(), config.known, asking);
+    let roster = Watch::new(address, config.names.clone(), config.known, call_params);
     let chat = drivers.start("chat", config.settings, driver_tuning(&bounds), engines, roster)?;
     let OperatorInterface { management, shared } = operator_interface;
     tokio::task::spawn_local(forward_changes(config::OperatorCommands::new(shared.clone()), chat.clone()));
--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -8,7 +8,7 @@
 
 /// Parameters of the calls to discovery.
 #[derive(Clone, Copy, Debug)]
-pub struct Asking {
+pub struct DiscoveryCallParams {
     /// True if one service answers all gateways, false if each gateway has its own agent.
     pub shared: bool,
     /// Number of gateways.
@@ -16,13 +16,13 @@
     /// Seed for the random delays; each gateway needs its own.
     pub seed: u64,
     /// Time, from the settings, after which a listed change counts as announced even without an open watch.
-    pub told_after: Duration,
+    pub announced_after: Duration,
 }
 
-impl Asking {
+impl DiscoveryCallParams {
     /// Parameters for one gateway with an agent of its own.
     pub fn agent(seed: u64) -> Self {
-        Self { shared: false, gateways: 1, seed, told_after: Duration::from_secs(10) }
+        Self { shared: false, gateways: 1, seed, announced_after: Duration::from_secs(10) }
     }
 }
 
@@ -77,8 +77,8 @@
 
 impl Backoff {
     /// Creates the state of one watch; nothing carries over from an earlier watch.
-    pub(super) fn new(params: Asking) -> Self {
-        let Asking { shared, gateways, seed, told_after } = params;
+    pub(super) fn new(params: DiscoveryCallParams) -> Self {
+        let DiscoveryCallParams { shared, gateways, seed, announced_after } = params;
         let (first_call_spread, opening_timeout, first_delay, max_delay) = if shared {
             (
                 FIRST_CALL_SPREAD_PER_GATEWAY.saturating_mul(gateways.saturating_sub(1)),
@@ -89,7 +89,7 @@
         } else {
             (Duration::ZERO, AGENT_TIMEOUT, AGENT_DELAYS.0, AGENT_DELAYS.1)
         };
-        let max_first_spread = told_after.saturating_sub(CALL_GRACE).min(MAX_SPREAD_KNOWN);
+        let max_first_spread = announced_after.saturating_sub(CALL_GRACE).min(MAX_SPREAD_KNOWN);
         let rng = fastrand::Rng::with_seed(seed);
         Self {
             first_call_spread,
@@ -143,8 +143,8 @@
 
     const MICROS_PER_S: u64 = 1_000_000;
 
-    fn call_params(shared: bool, gateways: u32, seed: u64) -> Asking {
-        Asking { shared, gateways, ..Asking::agent(seed) }
+    fn call_params(shared: bool, gateways: u32, seed: u64) -> DiscoveryCallParams {
+        DiscoveryCallParams { shared, gateways, ..DiscoveryCallParams::agent(seed) }
     }
 
     /// Simulates gateways that all start at once at one service with the given capacity,
@@ -268,13 +268,14 @@
     #[case::without_a_list(Opening::Blank, 10, 500, 1_000)]
     fn first_calls_are_spread_within_their_maximum(
         #[case] opening: Opening,
-        #[case] told_after_s: u64,
+        #[case] announced_after_s: u64,
         #[case] min_ms: u64,
         #[case] max_ms: u64,
     ) {
         let first_delay = |seed| {
-            let told_after = Duration::from_secs(told_after_s);
-            Backoff::new(Asking { told_after, ..call_params(true, 350, seed) }).first_call_delay(opening)
+            let announced_after = Duration::from_secs(announced_after_s);
+            Backoff::new(DiscoveryCallParams { announced_after, ..call_params(true, 350, seed) })
+                .first_call_delay(opening)
         };
         let latest = (0..350).map(first_delay).max();
         let within = Duration::from_millis(min_ms)..=Duration::from_millis(max_ms);
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -3,7 +3,7 @@
 //! keeps following the old address until the new one has responded with a revision that is not older than the
 //! last one applied. An older revision lacks later changes, so the known engines stay in use meanwhile.
 
-use super::backoff::{Asking, Backoff, CALL_GRACE, Opening};
+use super::backoff::{Backoff, CALL_GRACE, DiscoveryCallParams, Opening};
 use super::pool::{Channel, Pool, PoolLimits};
 use super::transport::WriteWatch;
 use crate::config::{EngineList, NameTables, ServerIds};
@@ -153,7 +153,7 @@
     /// The list that the gateway last persisted, until it is passed on as the first change.
     known: Option<EngineList>,
     address: watch::Receiver<Arc<str>>,
-    asking: Asking,
+    call_params: DiscoveryCallParams,
     /// Sources with their numbers; once the newest has responded, all older ones are stopped.
     sources: Vec<(u64, AbortHandle)>,
     /// The number of the newest source.
@@ -176,7 +176,7 @@
         address: watch::Receiver<Arc<str>>,
         names: NameTables,
         known: Option<EngineList>,
-        asking: Asking,
+        call_params: DiscoveryCallParams,
     ) -> Self {
         let (list_sender, lists) = mpsc::channel(1);
         let server_ids = ServerIds::default();
@@ -185,7 +185,7 @@
             server_ids,
             known,
             address,
-            asking,
+            call_params,
             sources: Vec::new(),
             newest_source: 0,
             revision: None,
@@ -202,15 +202,15 @@
     /// Opens a watch at the address configured last, starting from the given revision if there is one.
     fn open_source(&mut self, opening: Opening, from_revision: Option<u64>) {
         self.newest_source += 1;
-        let seed = self.asking.seed.wrapping_add(self.newest_source);
+        let seed = self.call_params.seed.wrapping_add(self.newest_source);
         let mut source = Source::new(
             self.address.borrow_and_update().clone(),
-            Backoff::new(Asking { seed, ..self.asking }),
+            Backoff::new(DiscoveryCallParams { seed, ..self.call_params }),
         );
         // At a shared service a whole list costs work for each of its lines, and gateways that start together
         // would queue behind each other's requests, so only the changes since the known list are requested.
         // An agent serves this gateway alone, so its whole list costs nobody else anything.
-        source.revision = from_revision.filter(|_| self.asking.shared);
+        source.revision = from_revision.filter(|_| self.call_params.shared);
         let task =
             tokio::task::spawn_local(source.run(opening, self.newest_source, self.list_sender.clone()));
         self.sources.push((self.newest_source, task.abort_handle()));
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -16,7 +16,7 @@
 mod signals;
 mod transport;
 
-pub use backoff::Asking;
+pub use backoff::DiscoveryCallParams;
 pub use closing::{CloseReason, ClosedConnection};
 pub use discovery::Watch;
 pub use engines::{HttpEngines, HttpEvents, Job, Manner};
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -4,7 +4,7 @@
 use loopback::*;
 use meadowlug::config::{EngineList, NameTables};
 use meadowlug::gateway::{Change, ChangeContent, Changes};
-use meadowlug::net::{Asking, Watch};
+use meadowlug::net::{DiscoveryCallParams, Watch};
 use rstest::rstest;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -55,7 +55,12 @@
     let known_json = r#"{"rev":4,"all":true,"targets":[{"uid":"r1","endpoint":"e:1","model":"reader","state":"SERVING"}]}"#;
     let known: EngineList = serde_json::from_str(known_json).expect("a valid list");
     (
-        Watch::new(address, names, Some(known), Asking { shared, gateways: 2, ..Asking::agent(9) }),
+        Watch::new(
+            address,
+            names,
+            Some(known),
+            DiscoveryCallParams { shared, gateways: 2, ..DiscoveryCallParams::agent(9) },
+        ),
         address_sender,
     )
 }
