--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -199,7 +199,7 @@
     };
     let drivers = Drivers { pool: pool.clone(), bounds, seed: config.seed, call_params, ended };
     let engines = HttpEngines::new(pool.clone(), config.load.clone(), true, bounds.max_answer_bytes);
-    let sent_attempts = engines.tries();
+    let written_attempts = engines.written_attempts();
     let address =
         reload.as_ref().map_or_else(|| constant_address(&config.discovery), config::Reload::discovery);
     let roster = Watch::new(address, config.names.clone(), config.known, call_params);
@@ -223,7 +223,7 @@
         let front = Management {
             gateway: chat.clone(),
             classes: config.names.classes.clone(),
-            sent_attempts,
+            written_attempts,
             shared: shared.clone(),
             phase: phase.clone(),
         };
--- a/src/front/inference.rs
+++ b/src/front/inference.rs
@@ -5,7 +5,7 @@
 use crate::config::Api;
 use crate::gateway::{Answer, Gateway, Key, Submission};
 use crate::interface::{Arrival, Micros, RequestId};
-use crate::net::{FrontBody, HttpEngines, Job, Manner};
+use crate::net::{FrontBody, HttpEngines, Job, Processing};
 use hyper::body::Incoming;
 use hyper::header::AUTHORIZATION;
 use hyper::{HeaderMap, Request, Response, StatusCode};
@@ -207,7 +207,7 @@
                 path,
                 body,
                 idempotency_key: None,
-                manner: Manner::Single { list, entries: summary.entries },
+                processing: Processing::SingleStep { list, entries: summary.entries },
             },
             size,
             key,
--- a/src/front/management.rs
+++ b/src/front/management.rs
@@ -25,7 +25,7 @@
     /// Names of the request classes.
     pub classes: Vec<String>,
     /// Number of attempts that were completely written to an engine.
-    pub sent_attempts: Rc<Cell<u64>>,
+    pub written_attempts: Rc<Cell<u64>>,
     /// State shared with the other processes of the gateway, which persists operator commands.
     pub shared: SharedState,
     /// Current phase of a drain or a planned stop.
@@ -104,7 +104,7 @@
         }
         let unlabelled = |value: u64| [(String::new(), value)];
         write_metric("handled", "counter", &handled);
-        write_metric("upstream_tries", "counter", &unlabelled(self.sent_attempts.get()));
+        write_metric("upstream_tries", "counter", &unlabelled(self.written_attempts.get()));
         write_metric("in_progress", "gauge", &unlabelled(statistics.open_requests as u64));
         write_metric("known_engines", "gauge", &unlabelled(statistics.listed_engines as u64));
         write_metric("skipped_engines", "gauge", &unlabelled(statistics.avoided_engines as u64));
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -7,7 +7,7 @@
 use crate::config::{NameTables, index_of};
 use crate::gateway::{Gateway, Invariant, RequestResult, Submission, Ticket};
 use crate::interface::{Arrival, Class, Micros, RequestId};
-use crate::net::{ClosedConnection, FrontBody, HttpEngines, Job, Manner};
+use crate::net::{ClosedConnection, FrontBody, HttpEngines, Job, Processing};
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use std::rc::Rc;
@@ -82,7 +82,7 @@
         arrival.expires_in = arrival.expires_in.saturating_sub(received_at.elapsed().as_micros() as Micros);
         let size = body.len();
         let idempotency_key = headers.get("idempotency-key").cloned();
-        let job = Job { path, body, idempotency_key, manner: Manner::Staged };
+        let job = Job { path, body, idempotency_key, processing: Processing::PrefillThenDecode };
         let submission = Submission { arrival, job, size, key: None };
         self.gateway.submit(submission).map_err(reply::rejection)
     }
--- a/src/net/engines.rs
+++ b/src/net/engines.rs
@@ -23,11 +23,11 @@
 
 /// How engines process a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum Processing {
     /// A prefill step, then a decode step whose response is a stream of events.
-    Staged,
+    PrefillThenDecode,
     /// A single step whose response is a JSON object with a list of results.
-    Single {
+    SingleStep {
         /// The name of the list in the response.
         list: &'static str,
         /// Expected number of its entries; a response with fewer is incomplete.
@@ -45,7 +45,7 @@
     /// The idempotency key that the client sent, by which engines recognise a repeat of the request.
     pub idempotency_key: Option<HeaderValue>,
     /// How engines process the request.
-    pub manner: Manner,
+    pub processing: Processing,
 }
 
 /// The engines behind a pool of connections.
@@ -55,21 +55,21 @@
     /// True if engines hold KV-cache state that must be released.
     stateful: bool,
     /// Maximum size of one response, in bytes.
-    answer_bytes: usize,
+    max_response_bytes: usize,
     /// Number of attempts whose request was written completely.
-    tries: Rc<Cell<u64>>,
+    written_attempts: Rc<Cell<u64>>,
 }
 
 impl HttpEngines {
     /// Creates the client. `stateful` is true if engines hold state between the stages of a request;
-    /// `answer_bytes` is the maximum size of a response in bytes.
-    pub fn new(pool: Rc<Pool>, load: LoadReportFields, stateful: bool, answer_bytes: usize) -> Self {
-        Self { pool, load, stateful, answer_bytes, tries: Rc::default() }
+    /// `max_response_bytes` is the maximum size of a response in bytes.
+    pub fn new(pool: Rc<Pool>, load: LoadReportFields, stateful: bool, max_response_bytes: usize) -> Self {
+        Self { pool, load, stateful, max_response_bytes, written_attempts: Rc::default() }
     }
 
     /// Returns the counter of the attempts whose request was written completely.
-    pub fn tries(&self) -> Rc<Cell<u64>> {
-        self.tries.clone()
+    pub fn written_attempts(&self) -> Rc<Cell<u64>> {
+        self.written_attempts.clone()
     }
 }
 
@@ -124,16 +124,16 @@
 }
 
 /// Interprets a complete response.
-fn interpret(manner: Manner, status: StatusCode, declined: bool, body: Bytes) -> Reply<HttpEvents> {
-    match (manner, status) {
+fn interpret(processing: Processing, status: StatusCode, declined: bool, body: Bytes) -> Reply<HttpEvents> {
+    match (processing, status) {
         (_, StatusCode::GONE) if declined => Reply::Rejected { no_state: true },
         _ if declined => Reply::Rejected { no_state: false },
-        (Manner::Staged, StatusCode::ACCEPTED) => {
+        (Processing::PrefillThenDecode, StatusCode::ACCEPTED) => {
             let json: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
             let cached_tokens = json.get("cached_tokens").and_then(serde_json::Value::as_f64);
             Reply::Read { cached_tokens: cached_tokens.unwrap_or(0.0).max(0.0) }
         }
-        (Manner::Single { list, entries }, StatusCode::OK) => {
+        (Processing::SingleStep { list, entries }, StatusCode::OK) => {
             // A body without a length ends when its connection
             // closes, so only its content shows that it is complete.
             let json: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -141,7 +141,7 @@
                 json.get(list).and_then(|list| list.as_array()).is_some_and(|l| l.len() == entries);
             if complete { Reply::Complete(body) } else { Reply::Error }
         }
-        (Manner::Single { .. }, status) if is_request_error(status) => Reply::InvalidRequest(body),
+        (Processing::SingleStep { .. }, status) if is_request_error(status) => Reply::InvalidRequest(body),
         _ => Reply::Error,
     }
 }
@@ -162,8 +162,8 @@
         &self,
         call: Call<Job>,
     ) -> impl Future<Output = Result<EngineReply<HttpEvents>, AttemptError>> + 'static {
-        let (pool, load_fields, max_bytes) = (self.pool.clone(), self.load.clone(), self.answer_bytes);
-        let tries = self.tries.clone();
+        let (pool, load_fields, max_bytes) = (self.pool.clone(), self.load.clone(), self.max_response_bytes);
+        let written_attempts = self.written_attempts.clone();
         async move {
             let mut channel = pool.acquire(&call.endpoint).await?;
             if let Some(cause) = call.guard.refusal_reason() {
@@ -171,23 +171,27 @@
                 return Err(AttemptError::new(Progress::NotSent, cause));
             }
             let request = call_request(&call)?;
-            let watch = WriteWatch { guard: Some(call.guard), written_counter: Some(tries) };
+            let watch = WriteWatch { guard: Some(call.guard), written_counter: Some(written_attempts) };
             let response = channel.send(request, call.job.body.len(), watch).await?;
             let (head, body) = response.into_parts();
             let load =
                 head.headers.get("srv-load").map_or(Load::default(), |l| load_fields.parse(l.as_bytes()));
-            if call.job.manner == Manner::Staged && head.status == StatusCode::OK {
+            if call.job.processing == Processing::PrefillThenDecode && head.status == StatusCode::OK {
                 let connected_at = channel.opened;
                 let (events, connection) = (Events::new(max_bytes), Some((pool, call.endpoint, channel)));
                 let events = HttpEvents { body: Some(body), events, connection };
                 return Ok(EngineReply { reply: Reply::Events(events), load, connected_at });
             }
-            let max_bytes = if call.job.manner == Manner::Staged { MAX_STATUS_BODY_BYTES } else { max_bytes };
+            let max_bytes = if call.job.processing == Processing::PrefillThenDecode {
+                MAX_STATUS_BODY_BYTES
+            } else {
+                max_bytes
+            };
             let body = read_body(&channel, body, max_bytes).await?;
             let connected_at = channel.opened;
             pool.put_back(call.endpoint, channel);
             let declined = is_declined(head.status, &head.headers);
-            let reply = interpret(call.job.manner, head.status, declined, body);
+            let reply = interpret(call.job.processing, head.status, declined, body);
             Ok(EngineReply { reply, load, connected_at })
         }
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -19,7 +19,7 @@
 pub use backoff::DiscoveryCallParams;
 pub use closing::{CloseReason, ClosedConnection};
 pub use discovery::Watch;
-pub use engines::{HttpEngines, HttpEvents, Job, Manner};
+pub use engines::{HttpEngines, HttpEvents, Job, Processing};
 pub use eviction::ServeLimits;
 pub use inherited::inherited;
 pub use listen::bind;
