--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -30,7 +30,7 @@
 /// One in this many engine connections is reserved for calls that release states.
 const RESERVED_CONNECTIONS_DIVISOR: usize = 16;
 /// Interval at which the pool closes engine connections that have been idle for too long.
-const RETIRE_INTERVAL: Duration = Duration::from_secs(1);
+const CLOSE_EXPIRED_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum time without progress on a client's connection within a request or before the first one.
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum time for receiving the head of a client's request.
@@ -141,17 +141,22 @@
     });
 }
 
-/// Serves operators until the process ends: `connections` at a time, and `spare` more get an error response.
-fn serve_operators(listener: TcpListener, front: Management, (connections, spare): (usize, usize)) {
+/// Serves operators until the process ends: `connections` at a time, and
+/// `extra_connections` more get an error response.
+fn serve_operators(
+    listener: TcpListener,
+    front: Management,
+    (connections, extra_connections): (usize, usize),
+) {
     let limits = ServeLimits {
         connections,
-        spare,
-        buffer: OPERATOR_BUFFER_BYTES,
-        ahead: OPERATOR_BUFFER_BYTES,
-        stall: OPERATOR_STALL_TIMEOUT,
-        head: OPERATOR_HEAD_TIMEOUT,
-        idle: OPERATOR_STALL_TIMEOUT,
-        idle_least: OPERATOR_STALL_TIMEOUT / 4,
+        extra_connections,
+        buffer_bytes: OPERATOR_BUFFER_BYTES,
+        read_ahead_bytes: OPERATOR_BUFFER_BYTES,
+        stall_timeout: OPERATOR_STALL_TIMEOUT,
+        head_timeout: OPERATOR_HEAD_TIMEOUT,
+        idle_timeout: OPERATOR_STALL_TIMEOUT,
+        min_idle: OPERATOR_STALL_TIMEOUT / 4,
     };
     let serving = watch::Sender::new(Phase::Serving);
     let phases = serving.subscribe();
@@ -182,10 +187,10 @@
     let bounds = Bounds::from(config.resources);
     let pool = Pool::new(PoolLimits {
         connections: bounds.engine_connections,
-        reserved: (bounds.engine_connections / RESERVED_CONNECTIONS_DIVISOR).max(1),
-        buffer: bounds.connection_buffer_bytes,
+        reserved_for_releases: (bounds.engine_connections / RESERVED_CONNECTIONS_DIVISOR).max(1),
+        buffer_bytes: bounds.connection_buffer_bytes,
         dial_timeout: config.dial_timeout,
-        idle: config.idle_limit / 2,
+        idle_timeout: config.idle_limit / 2,
     });
     let (ended, mut driver_results) = mpsc::channel(1);
     // The id differs between processes even if their configured seeds are missing or equal: gateways with the
@@ -213,8 +218,8 @@
     let gateways: Vec<_> = models.iter().flatten().map(|m| m.gateway.clone()).chain([chat.clone()]).collect();
     tokio::task::spawn_local(async move {
         loop {
-            tokio::time::sleep(RETIRE_INTERVAL).await;
-            pool.retire();
+            tokio::time::sleep(CLOSE_EXPIRED_INTERVAL).await;
+            pool.close_expired();
         }
     });
     let (phase, phases) = watch::channel(Phase::Serving);
@@ -239,13 +244,13 @@
     log::info!("serving name={} listen={}", config.name, listener.local_addr()?);
     let limits = ServeLimits {
         connections: bounds.client_connections,
-        spare: bounds.excess_client_connections,
-        buffer: bounds.connection_buffer_bytes,
-        ahead: bounds.read_ahead_bytes,
-        stall: CLIENT_STALL_TIMEOUT,
-        head: CLIENT_HEAD_TIMEOUT,
-        idle: CLIENT_IDLE_TIMEOUT,
-        idle_least: CLIENT_MIN_IDLE_TIMEOUT,
+        extra_connections: bounds.excess_client_connections,
+        buffer_bytes: bounds.connection_buffer_bytes,
+        read_ahead_bytes: bounds.read_ahead_bytes,
+        stall_timeout: CLIENT_STALL_TIMEOUT,
+        head_timeout: CLIENT_HEAD_TIMEOUT,
+        idle_timeout: CLIENT_IDLE_TIMEOUT,
+        min_idle: CLIENT_MIN_IDLE_TIMEOUT,
     };
     claim_when_ready(&chat, &shared);
     let mut served = tokio::task::spawn_local(net::serve(listener, Rc::new(fronts), limits, phases));
@@ -257,7 +262,7 @@
     // If a new version already accepts clients on the same socket, this process must accept none any more.
     let superseded = shared.is_superseded();
     log::info!("stopping open={} superseded={superseded}", chat.open_request_count());
-    phase.send_replace(if superseded { Phase::Superseded } else { Phase::Leaving });
+    phase.send_replace(if superseded { Phase::Superseded } else { Phase::Stopping });
     let plan = StopPlan::new(Instant::now(), &chat.settings(), config.resume);
     gateways.iter().for_each(|gateway| gateway.shut_down(plan.schedule));
     if !superseded {
--- a/src/front/management.rs
+++ b/src/front/management.rs
@@ -76,7 +76,7 @@
 
 impl Management {
     fn readiness(&self) -> Response<FrontBody> {
-        if !self.phase.borrow().is_stop() && self.shared.is_claimed() && self.gateway.can_serve() {
+        if !self.phase.borrow().is_shutdown() && self.shared.is_claimed() && self.gateway.can_serve() {
             done_response()
         } else {
             reply::error(StatusCode::SERVICE_UNAVAILABLE, "takes no clients")
@@ -132,7 +132,7 @@
     fn drain(&self, start: bool) -> Response<FrontBody> {
         let changed = advance_phase(&self.phase, |phase| match phase {
             Phase::Serving if start => Some(Phase::Draining),
-            Phase::Draining | Phase::Away if !start => Some(Phase::Serving),
+            Phase::Draining | Phase::DrainClosing if !start => Some(Phase::Serving),
             _ => None,
         });
         if changed {
@@ -142,10 +142,10 @@
             let phase = self.phase.clone();
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(DRAIN_NOTICE_DELAY).await;
-                advance_phase(&phase, |phase| (phase == Phase::Draining).then_some(Phase::Away));
+                advance_phase(&phase, |phase| (phase == Phase::Draining).then_some(Phase::DrainClosing));
             });
         }
-        if start && self.phase.borrow().is_stop() {
+        if start && self.phase.borrow().is_shutdown() {
             return reply::error(StatusCode::CONFLICT, "the gateway stops");
         }
         done_response()
@@ -169,12 +169,12 @@
         response
     }
 
-    fn too_many(&self, _: &Request<Incoming>) -> Response<FrontBody> {
+    fn refuse_over_limit(&self, _: &Request<Incoming>) -> Response<FrontBody> {
         reply::error(StatusCode::SERVICE_UNAVAILABLE, "too many calls at once")
     }
 
-    fn contradicting(&self) -> Response<FrontBody> {
-        reply::contradicting_lengths()
+    fn refuse_conflicting_lengths(&self) -> Response<FrontBody> {
+        reply::conflicting_lengths()
     }
 }
 
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -62,16 +62,16 @@
         }
     }
 
-    fn too_many(&self, request: &Request<Incoming>) -> Response<FrontBody> {
+    fn refuse_over_limit(&self, request: &Request<Incoming>) -> Response<FrontBody> {
         self.platform.count_refused_before_submission(request.headers());
         reply::rejection(Rejected::Busy)
     }
 
-    fn contradicting(&self) -> Response<FrontBody> {
-        reply::contradicting_lengths()
+    fn refuse_conflicting_lengths(&self) -> Response<FrontBody> {
+        reply::conflicting_lengths()
     }
 
-    fn closed(&self, closed: &ClosedConnection) {
+    fn on_connection_closed(&self, closed: &ClosedConnection) {
         self.platform.connection_closed(closed);
     }
 }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -50,7 +50,7 @@
         let (number, reason) = (closed.number, closed.reason.name());
         log::debug!("connection closed number={number} reason={reason}");
         self.gateway.metrics().count_closed(reason);
-        if let Some(id) = &closed.unanswered {
+        if let Some(id) = &closed.unanswered_request_id {
             let request = RequestId(Arc::from(&**id));
             let detail = format!("connection={number} reason={reason}");
             self.gateway.invariants().report_violation(Invariant::NoCloseUnanswered, &request, detail);
--- a/src/front/reply.rs
+++ b/src/front/reply.rs
@@ -12,7 +12,7 @@
 
 /// Response with a complete body of the given content type.
 pub(super) fn complete(status: StatusCode, content_type: &'static str, body: Bytes) -> Response<FrontBody> {
-    let mut response = Response::new(FrontBody::Whole(Some(body)));
+    let mut response = Response::new(FrontBody::Complete(Some(body)));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
@@ -44,7 +44,7 @@
 }
 
 /// Response to a head with both a transfer encoding and a content length.
-pub(super) fn contradicting_lengths() -> Response<FrontBody> {
+pub(super) fn conflicting_lengths() -> Response<FrontBody> {
     error(StatusCode::BAD_REQUEST, "both transfer-encoding and content-length")
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -22,7 +22,7 @@
         None => None,
     };
     let listener = match std::env::var("BALANCER_INHERITED_FD") {
-        Ok(inherited_fd) => tokio::net::TcpListener::from_std(net::inherited(&inherited_fd)?)?,
+        Ok(inherited_fd) => tokio::net::TcpListener::from_std(net::inherited_listener(&inherited_fd)?)?,
         Err(_) => net::bind(&config.listen).await?,
     };
     let management = match config.management.clone().or(std::env::var("BALANCER_MANAGEMENT").ok()) {
--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -54,7 +54,7 @@
     /// The connection was closed to make room for another.
     MadeRoom,
     /// The connection was idle when the gateway started to drain or shut down.
-    SentAway,
+    ShutDownWhileIdle,
 }
 
 impl CloseReason {
@@ -66,13 +66,13 @@
             Self::RequestTimeout => "request_timeout",
             Self::Idle => "idle",
             Self::MadeRoom => "made_room",
-            Self::SentAway => "sent_away",
+            Self::ShutDownWhileIdle => "sent_away",
         }
     }
 
     /// Returns true if the connection was idle between two requests: data that arrive then were not read.
     pub(super) fn was_idle(self) -> bool {
-        matches!(self, Self::Idle | Self::MadeRoom | Self::SentAway)
+        matches!(self, Self::Idle | Self::MadeRoom | Self::ShutDownWhileIdle)
     }
 }
 
@@ -85,7 +85,7 @@
     pub reason: CloseReason,
     /// The id of a request that was read on it and got no response
     /// although its client still waits. This must not happen.
-    pub unanswered: Option<Rc<str>>,
+    pub unanswered_request_id: Option<Rc<str>>,
 }
 
 /// Finishes an idle connection that was told to shut down.
@@ -99,11 +99,11 @@
 /// Shuts down the sending side, then reads and discards for a while what the client still sends, so that a
 /// response sent before the end of its request reaches the client. Closing a socket with unread bytes resets
 /// the connection, and the response would be lost.
-pub(super) async fn linger(stream: &TcpStream, buffer: usize) {
+pub(super) async fn linger(stream: &TcpStream, buffer_bytes: usize) {
     if end_writing(stream).is_err() {
         return;
     }
-    let mut discarded = vec![0; buffer];
+    let mut discarded = vec![0; buffer_bytes];
     let drain = async {
         while stream.readable().await.is_ok() {
             match stream.try_read(&mut discarded) {
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -207,9 +207,10 @@
     pub(super) fn is_overdue(&self, limits: &ServeLimits) -> bool {
         let Some(idle_time) = self.idle_time() else { return false };
         if self.in_request() {
-            return idle_time >= limits.stall || self.request_started.get().elapsed() >= limits.head;
+            return idle_time >= limits.stall_timeout
+                || self.request_started.get().elapsed() >= limits.head_timeout;
         }
-        idle_time >= if self.has_served.get() { limits.idle } else { limits.stall }
+        idle_time >= if self.has_served.get() { limits.idle_timeout } else { limits.stall_timeout }
     }
 
     fn record_received(&self, bytes: &[u8]) {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -47,10 +47,10 @@
     fn new(address: Arc<str>, backoff: Backoff) -> Self {
         let limits = PoolLimits {
             connections: 2,
-            reserved: 0,
-            buffer: BUFFER_BYTES,
+            reserved_for_releases: 0,
+            buffer_bytes: BUFFER_BYTES,
             dial_timeout: CALL_GRACE,
-            idle: MAX_WAIT,
+            idle_timeout: MAX_WAIT,
         };
         Self { address, pool: Pool::new(limits), channel: None, revision: None, backoff }
     }
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -14,19 +14,19 @@
     /// on a further one is refused and its connection closed.
     pub connections: usize,
     /// Maximum number of connections beyond `connections`; any more are closed without a response.
-    pub spare: usize,
+    pub extra_connections: usize,
     /// Maximum size of a request head, and of the read buffer of a connection, in bytes.
-    pub buffer: usize,
+    pub buffer_bytes: usize,
     /// Maximum number of bytes read ahead of the parser, on all connections together.
-    pub ahead: usize,
+    pub read_ahead_bytes: usize,
     /// Maximum time without data before the first request or within a request.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// Maximum time in which a request head must arrive.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Maximum idle time between requests while no connection must be closed to make room.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Minimum idle time before a connection is closed to make room, unless the limit is reached.
-    pub idle_least: Duration,
+    pub min_idle: Duration,
 }
 
 /// Fraction of the maximum number of connections from which idle ones are closed to make room.
@@ -49,7 +49,7 @@
     Served(Registration),
     /// The connection is above the limit: its request is refused.
     OverLimit(Registration),
-    /// The connection exceeds the limit by more than `spare`: it is closed without a response.
+    /// The connection exceeds the limit by more than `extra_connections`: it is closed without a response.
     Closed,
 }
 
@@ -68,7 +68,7 @@
 
 impl Connections {
     pub(super) fn new(limits: ServeLimits) -> Rc<Self> {
-        let read_ahead_budget = Rc::new(Cell::new(limits.ahead));
+        let read_ahead_budget = Rc::new(Cell::new(limits.read_ahead_bytes));
         Rc::new(Self { limits, by_number: RefCell::default(), read_ahead_budget, next_number: Cell::new(0) })
     }
 
@@ -79,7 +79,7 @@
     /// Registers a new connection and, if slots are scarce, closes an idle one for it.
     pub(super) async fn register(self: &Rc<Self>, stream: TcpStream) -> Admission {
         let over_limit = self.make_room();
-        let max_open = self.limits.connections + self.limits.spare;
+        let max_open = self.limits.connections + self.limits.extra_connections;
         if self.open_count() >= max_open {
             // A connection that was just asked to close does so in its own task.
             tokio::task::yield_now().await;
@@ -108,7 +108,7 @@
         }
         let idle = open.values().filter_map(|connection| Some((connection.idle_time()?, connection)));
         let candidates = idle.filter(|(idle_time, connection)| {
-            let expired = *idle_time >= self.limits.idle_least;
+            let expired = *idle_time >= self.limits.min_idle;
             expired
                 || at_limit
                     && (*idle_time >= MIN_IDLE_WITHOUT_REQUEST || connection.has_served_request())
@@ -117,7 +117,7 @@
         // Order of preference: expired idle time, then connections
         // that never sent a request, then the longest idle.
         let least_needed = candidates.max_by_key(|(idle_time, connection)| {
-            (*idle_time >= self.limits.idle_least, !connection.has_served_request(), *idle_time)
+            (*idle_time >= self.limits.min_idle, !connection.has_served_request(), *idle_time)
         });
         match least_needed {
             Some((_, connection)) => {
--- a/src/net/heads.rs
+++ b/src/net/heads.rs
@@ -1,5 +1,5 @@
 //! Tracks where the requests on a client connection begin and end, from its raw bytes: after the HTTP parser
-//! has dropped one of two contradicting lengths, it no longer shows that there were two.
+//! has dropped one of two conflicting lengths, it no longer shows that there were two.
 
 use std::collections::VecDeque;
 
@@ -14,7 +14,7 @@
     Length,
     /// By chunked encoding; the requests after it are not tracked.
     Chunks,
-    /// By both, which contradict each other: another request may hide in the body.
+    /// By both, which conflict: another request may hide in the body.
     Both,
 }
 
--- a/src/net/inherited.rs
+++ b/src/net/inherited.rs
@@ -8,7 +8,7 @@
 ///
 /// The listener uses a duplicate of the descriptor, obtained through the pidfd of this process: converting a
 /// number into an owned descriptor is unsafe, since nothing shows that no other code closes it.
-pub fn inherited(number: &str) -> io::Result<TcpListener> {
+pub fn inherited_listener(number: &str) -> io::Result<TcpListener> {
     let invalid = |problem: &str| {
         io::Error::new(io::ErrorKind::InvalidInput, format!("descriptor {number}: {problem}"))
     };
@@ -34,7 +34,8 @@
     #[test]
     fn listener_shares_the_inherited_socket() {
         let original = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let listener = inherited(&original.as_raw_fd().to_string()).expect("the descriptor is a listener");
+        let listener =
+            inherited_listener(&original.as_raw_fd().to_string()).expect("the descriptor is a listener");
         assert_eq!(listener.local_addr().ok(), original.local_addr().ok());
         drop(original);
         let mut client =
@@ -48,7 +49,7 @@
     fn descriptor_that_is_no_listener_is_refused() {
         let file = tempfile::tempfile().expect("a temporary file");
         for number in ["", "seven", "-1", &file.as_raw_fd().to_string()] {
-            assert!(inherited(number).is_err(), "{number}");
+            assert!(inherited_listener(number).is_err(), "{number}");
         }
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -21,7 +21,7 @@
 pub use discovery::Watch;
 pub use engines::{HttpEngines, HttpEvents, Job, Processing};
 pub use eviction::ServeLimits;
-pub use inherited::inherited;
+pub use inherited::inherited_listener;
 pub use listen::bind;
 pub use pool::{Pool, PoolLimits};
 pub use serve::{Front, FrontBody, Phase, serve};
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -23,13 +23,13 @@
     /// Maximum number of connections to all engines together.
     pub connections: usize,
     /// Number of these connections that are reserved for calls that release states.
-    pub reserved: usize,
+    pub reserved_for_releases: usize,
     /// Maximum size of a response head, and of the read buffer of a connection, in bytes.
-    pub buffer: usize,
+    pub buffer_bytes: usize,
     /// Maximum time to establish a connection.
     pub dial_timeout: Duration,
     /// Maximum idle time of a connection; well below the idle timeout of the engines.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Delay before a connection is reused after a response: unsolicited bytes
@@ -123,7 +123,11 @@
 
     /// Returns an idle connection, or a new one, for an attempt.
     pub(super) async fn acquire(&self, endpoint: &Arc<str>) -> Result<Channel, AttemptError> {
-        self.acquire_within(endpoint, self.limits.connections.saturating_sub(self.limits.reserved)).await
+        self.acquire_within(
+            endpoint,
+            self.limits.connections.saturating_sub(self.limits.reserved_for_releases),
+        )
+        .await
     }
 
     /// Returns a connection for a call that releases a state: attempts may not use up all connections.
@@ -137,7 +141,7 @@
         max_connections: usize,
     ) -> Result<Channel, AttemptError> {
         while let Some(idle) = self.pop_reusable(endpoint) {
-            let expired = idle.since.elapsed() >= self.limits.idle;
+            let expired = idle.since.elapsed() >= self.limits.idle_timeout;
             if !expired && idle.channel.sender.is_ready() && !is_stale(&idle.channel.stream) {
                 return Ok(idle.channel);
             }
@@ -176,7 +180,7 @@
         let metered_stream = MeteredStream { stream: stream.clone(), meter: meter.clone() };
         let mut builder = http1::Builder::new();
         // An unreadable header does not make the rest of the response invalid.
-        builder.max_buf_size(self.limits.buffer).ignore_invalid_headers_in_responses(true);
+        builder.max_buf_size(self.limits.buffer_bytes).ignore_invalid_headers_in_responses(true);
         let handshake = builder.handshake(TokioIo::new(metered_stream)).await;
         let (sender, connection) = handshake.map_err(|e| not_connected(e.to_string()))?;
         // An error of the connection reaches the request in progress; an idle connection is simply replaced.
@@ -208,8 +212,8 @@
     }
 
     /// Closes connections that have been idle for too long.
-    pub fn retire(&self) {
-        let limit = self.limits.idle;
+    pub fn close_expired(&self) {
+        let limit = self.limits.idle_timeout;
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
             connections.retain(|i| i.since.elapsed() < limit && !i.channel.sender.is_closed());
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -41,9 +41,9 @@
     /// An operator has started a drain: readiness checks fail, but requests are served as before.
     Draining,
     /// Later in a drain: connections close after the response in progress, new connections after their first.
-    Away,
+    DrainClosing,
     /// Asked to shut down; new connections and requests are still served.
-    Leaving,
+    Stopping,
     /// No new connections; open ones close after the response in progress.
     Closing,
     /// Like `Closing`, but another process accepts clients on the same socket:
@@ -55,8 +55,8 @@
 
 impl Phase {
     /// Returns true if the process was asked to shut down.
-    pub fn is_stop(self) -> bool {
-        matches!(self, Self::Leaving | Self::Closing | Self::Superseded | Self::Ended)
+    pub fn is_shutdown(self) -> bool {
+        matches!(self, Self::Stopping | Self::Closing | Self::Superseded | Self::Ended)
     }
 
     /// Returns true if new connections are no longer accepted.
@@ -70,17 +70,17 @@
     /// Handles one request.
     fn handle(&self, request: Request<Incoming>) -> impl Future<Output = Response<FrontBody>>;
     /// Refuses a request because there are too many connections.
-    fn too_many(&self, request: &Request<Incoming>) -> Response<FrontBody>;
+    fn refuse_over_limit(&self, request: &Request<Incoming>) -> Response<FrontBody>;
     /// Refuses a request whose head gives both a length and a transfer encoding.
-    fn contradicting(&self) -> Response<FrontBody>;
+    fn refuse_conflicting_lengths(&self) -> Response<FrontBody>;
     /// Called when a connection was closed.
-    fn closed(&self, _: &ClosedConnection) {}
+    fn on_connection_closed(&self, _: &ClosedConnection) {}
 }
 
 /// The body of a response.
 pub enum FrontBody {
     /// A complete body in one piece.
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     /// A stream that is passed on as an engine produces it.
     Relay(Box<Relay<HttpEvents>>),
 }
@@ -94,18 +94,18 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, AttemptError>>> {
         match self.get_mut() {
-            Self::Whole(body) => Poll::Ready(body.take().map(|body| Ok(Frame::data(body)))),
+            Self::Complete(body) => Poll::Ready(body.take().map(|body| Ok(Frame::data(body)))),
             Self::Relay(relay) => relay.poll_chunk(context).map(|chunk| chunk.map(|r| r.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 
     fn size_hint(&self) -> hyper::body::SizeHint {
         match self {
-            Self::Whole(body) => {
+            Self::Complete(body) => {
                 hyper::body::SizeHint::with_exact(body.as_ref().map_or(0, Bytes::len) as u64)
             }
             Self::Relay(_) => hyper::body::SizeHint::default(),
@@ -198,8 +198,8 @@
         let connection = connection.clone();
         async move {
             let mut response = match framing {
-                _ if over_limit => front.too_many(&request),
-                Framing::Both => front.contradicting(),
+                _ if over_limit => front.refuse_over_limit(&request),
+                Framing::Both => front.refuse_conflicting_lengths(),
                 // The disconnect is polled first each time, so
                 // that no work starts for a client that has left.
                 Framing::Length | Framing::Chunks => tokio::select! {
@@ -215,9 +215,12 @@
             Ok(response.map(|body| ClientBody::new(body, in_progress)))
         }
     });
-    let mut shutting_down = *phase.borrow() == Phase::Away;
+    let mut shutting_down = *phase.borrow() == Phase::DrainClosing;
     let mut builder = hyper::server::conn::http1::Builder::new();
-    builder.timer(TokioTimer::new()).max_buf_size(limits.buffer).keep_alive(!over_limit && !shutting_down);
+    builder
+        .timer(TokioTimer::new())
+        .max_buf_size(limits.buffer_bytes)
+        .keep_alive(!over_limit && !shutting_down);
     let io = TokioIo::new(ClientStream(connection.clone()));
     let mut http_connection = std::pin::pin!(builder.serve_connection(io, service));
     let (result, reason) = loop {
@@ -230,7 +233,7 @@
                 shutting_down = true;
                 http_connection.as_mut().graceful_shutdown();
                 if !connection.is_answering() {
-                    break (finish_shutdown(http_connection.as_mut()).await, CloseReason::SentAway);
+                    break (finish_shutdown(http_connection.as_mut()).await, CloseReason::ShutDownWhileIdle);
                 }
             }
             () = connection.wait_for_close_request() => match CloseEffect::of(&connection) {
@@ -252,8 +255,12 @@
     if let Err(error) = &result {
         log::debug!("connection ended number={} {error}", registration.number);
     }
-    let unanswered = connection.unanswered_request_id().filter(|_| result.is_ok());
-    front.closed(&ClosedConnection { number: registration.number, reason, unanswered });
+    let unanswered_request_id = connection.unanswered_request_id().filter(|_| result.is_ok());
+    front.on_connection_closed(&ClosedConnection {
+        number: registration.number,
+        reason,
+        unanswered_request_id,
+    });
     connection.mark_closing();
     // Closing a socket with unread bytes resets the connection, and the response written
     // last would be lost with it, so the rest is read first. An idle connection has no such
@@ -262,7 +269,7 @@
     // another waits for its slot, that other one would be closed without a response.
     let has_unread = connection.in_request() || connection.has_unread_input();
     if has_unread && !reason.was_idle() && !connection.is_slot_awaited() {
-        linger(&connection.stream, limits.buffer).await;
+        linger(&connection.stream, limits.buffer_bytes).await;
     }
 }
 
@@ -276,7 +283,7 @@
 /// would reset it. A request that stalls times out as at any other time.
 async fn wait_for_graceful_close(phase: &mut watch::Receiver<Phase>, connection: &Connection) {
     // Without a sender, nothing ends the connections that are being served.
-    if phase.wait_for(|phase| *phase == Phase::Away || phase.stops_accepting()).await.is_err() {
+    if phase.wait_for(|phase| *phase == Phase::DrainClosing || phase.stops_accepting()).await.is_err() {
         return std::future::pending().await;
     }
     while !connection.is_answering() && (connection.in_request() || connection.has_unread_input()) {
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -108,7 +108,7 @@
 #[case::length_first("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n")]
 #[case::chunks_first("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n")]
 #[tokio::test]
-async fn request_hidden_behind_contradicting_lengths_is_not_passed_on(#[case] lengths: &str) {
+async fn request_hidden_behind_conflicting_lengths_is_not_passed_on(#[case] lengths: &str) {
     local(async {
         let fixture = Fixture::start().await;
         let mut stream = connect(fixture.daemon.address).await;
--- a/tests/engines.rs
+++ b/tests/engines.rs
@@ -162,8 +162,14 @@
             "extra": {"roleByKind": ["write"], "reportX0": "share of memory that is held"}}});
         let config = Config::decode(config_json.to_string().as_bytes()).expect("a valid configuration");
         assert!(config.settings.may_probe);
-        let (dial_timeout, idle) = (Duration::from_secs(1), Duration::from_secs(1));
-        let pool = Pool::new(PoolLimits { connections: 4, reserved: 0, buffer: 8 << 10, dial_timeout, idle });
+        let (dial_timeout, idle_timeout) = (Duration::from_secs(1), Duration::from_secs(1));
+        let pool = Pool::new(PoolLimits {
+            connections: 4,
+            reserved_for_releases: 0,
+            buffer_bytes: 8 << 10,
+            dial_timeout,
+            idle_timeout,
+        });
         let engines = HttpEngines::new(pool, config.load, true, 1 << 20);
         let load = engines.probe(Arc::from(writer.address.to_string())).await;
         assert_eq!(load.ok().map(|load| load.memory_share), expected);
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -81,14 +81,14 @@
 
 impl Front for ImmediateFront {
     async fn handle(&self, _: Request<Incoming>) -> Response<FrontBody> {
-        Response::new(FrontBody::Whole(Some("served".into())))
+        Response::new(FrontBody::Complete(Some("served".into())))
     }
 
-    fn too_many(&self, _: &Request<Incoming>) -> Response<FrontBody> {
+    fn refuse_over_limit(&self, _: &Request<Incoming>) -> Response<FrontBody> {
         panic!("the connection limit is not reached")
     }
 
-    fn contradicting(&self) -> Response<FrontBody> {
+    fn refuse_conflicting_lengths(&self) -> Response<FrontBody> {
         panic!("there is one length")
     }
 }
@@ -118,13 +118,13 @@
         let second = Duration::from_secs(1);
         let limits = ServeLimits {
             connections: 64,
-            spare: 0,
-            buffer: 8 << 10,
-            ahead: 8 << 10,
-            stall: second,
-            head: second,
-            idle: second,
-            idle_least: second,
+            extra_connections: 0,
+            buffer_bytes: 8 << 10,
+            read_ahead_bytes: 8 << 10,
+            stall_timeout: second,
+            head_timeout: second,
+            idle_timeout: second,
+            min_idle: second,
         };
         let (_phase, phases) = watch::channel(phase);
         meadowlug::net::serve(listener, Rc::new(ImmediateFront), limits, phases).await;
@@ -456,18 +456,18 @@
         if is_slow {
             tokio::time::sleep(Duration::from_millis(900)).await;
         }
-        Response::new(FrontBody::Whole(Some("served".into())))
+        Response::new(FrontBody::Complete(Some("served".into())))
     }
 
-    fn too_many(&self, _: &Request<Incoming>) -> Response<FrontBody> {
-        Response::new(FrontBody::Whole(Some("too many".into())))
+    fn refuse_over_limit(&self, _: &Request<Incoming>) -> Response<FrontBody> {
+        Response::new(FrontBody::Complete(Some("too many".into())))
     }
 
-    fn contradicting(&self) -> Response<FrontBody> {
+    fn refuse_conflicting_lengths(&self) -> Response<FrontBody> {
         panic!("there is one length")
     }
 
-    fn closed(&self, closed: &ClosedConnection) {
+    fn on_connection_closed(&self, closed: &ClosedConnection) {
         self.closed.borrow_mut().push(closed.clone());
     }
 }
@@ -484,13 +484,13 @@
         let long = Duration::from_secs(10);
         let limits = ServeLimits {
             connections: IDLE_CONNECTIONS,
-            spare: IDLE_CONNECTIONS,
-            buffer: 8 << 10,
-            ahead: 64 << 10,
-            stall: long,
-            head: long,
-            idle: long,
-            idle_least: long,
+            extra_connections: IDLE_CONNECTIONS,
+            buffer_bytes: 8 << 10,
+            read_ahead_bytes: 64 << 10,
+            stall_timeout: long,
+            head_timeout: long,
+            idle_timeout: long,
+            min_idle: long,
         };
         let front = Rc::new(SlowFront::default());
         let (_phase, phases) = watch::channel(Phase::Serving);
@@ -533,7 +533,7 @@
         }
         assert!(front.received.borrow().iter().any(|id| id.starts_with("late")), "no late request was read");
         let closed = front.closed.borrow();
-        assert!(closed.iter().all(|closed| closed.unanswered.is_none()), "{closed:?}");
+        assert!(closed.iter().all(|closed| closed.unanswered_request_id.is_none()), "{closed:?}");
         drop(new_connections);
     })
     .await;
