--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -66,7 +66,7 @@
         let new_router = |number: u32| Harness::new(self.settings(number % 3), &[]);
         let update_roster = |router: &mut Harness, time, started| {
             router.now = time;
-            router.roster(self.entries(started));
+            router.set_full_roster(self.entries(started));
         };
         let begin = STARTED_AT - (warm_up_s * 1e6) as Micros;
         let mut routers: Vec<_> = (0..self.routers).map(new_router).collect();
@@ -104,13 +104,13 @@
                 ..arrival(&name)
             };
             router.now = now;
-            let sends = all_sends(&router.ask(new_arrival));
-            if sends.iter().any(|(_, to)| *to == COLD_READER) {
+            let sent_requests = all_requests_sent(&router.submit(new_arrival));
+            if sent_requests.iter().any(|(_, server)| *server == COLD_READER) {
                 sent.push(now);
             }
             // The client leaves and the read completes: only the send matters here.
             router.handle(&[Event::Abandoned { id: id(&name) }]);
-            router.outcome(&name, 0, Status::Read, 600.0, Load::default());
+            router.end_attempt_with_report(&name, 0, Status::Read, 600.0, Load::default());
         }
     }
 }
@@ -192,8 +192,8 @@
 
 /// Sends a request, completes its read and returns the writer that it goes to.
 fn writer_of_request(harness: &mut Harness, name: &str) -> Option<u32> {
-    harness.ask(Arrival { session: Some(name.into()), ..arrival(name) });
-    let writer = sends(&harness.read(name, 0), name).first().copied();
+    harness.submit(Arrival { session: Some(name.into()), ..arrival(name) });
+    let writer = servers_sent_to(&harness.complete_read(name, 0), name).first().copied();
     harness.now += 10_000;
     writer
 }
@@ -204,7 +204,7 @@
         let name = format!("{name_prefix}-{n}");
         let chosen = writer_of_request(harness, &name);
         harness.first_token(&name, 1);
-        harness.outcome(&name, 1, Status::Served, 0.0, Load::default());
+        harness.end_attempt_with_report(&name, 1, Status::Served, 0.0, Load::default());
         chosen == Some(writer)
     };
     (0..80).filter(|n| is_served_at_writer(*n)).count()
@@ -218,7 +218,7 @@
             return name;
         }
         harness.first_token(&name, 1);
-        harness.outcome(&name, 1, Status::Served, 0.0, Load::default());
+        harness.end_attempt_with_report(&name, 1, Status::Served, 0.0, Load::default());
     }
     panic!("no request goes to writer {writer}");
 }
@@ -235,15 +235,15 @@
     assert!(usual >= 10, "{usual} of 80 requests before the break");
     let broken = first_request_at(&mut harness, 11, "broken");
     harness.now += 250_000;
-    harness.ended(&broken, 1, lost);
-    harness.wait(SECOND);
+    harness.end_attempt(&broken, 1, lost);
+    harness.advance(SECOND);
     let trial = first_request_at(&mut harness, 11, "trial");
     harness.first_token(&trial, 1);
-    harness.outcome(&trial, 1, Status::Served, 0.0, Load::default());
+    harness.end_attempt_with_report(&trial, 1, Status::Served, 0.0, Load::default());
     let suspected = requests_served_at(&mut harness, 11, "suspected");
     assert!(suspected <= usual / 2, "{suspected} of 80 requests after the break, {usual} before");
     // By now the roster would have reported a restart.
-    harness.wait(7 * SECOND);
+    harness.advance(7 * SECOND);
     let recovered = requests_served_at(&mut harness, 11, "after");
     assert!(recovered >= 10, "{recovered} of 80 requests after the recovery");
 }
@@ -256,12 +256,12 @@
     let connected_since = harness.now;
     let broken = first_request_at(&mut harness, 11, "broken");
     harness.now += 250_000;
-    harness.ended(&broken, 1, Status::NoConnection);
-    harness.wait(SECOND);
+    harness.end_attempt(&broken, 1, Status::NoConnection);
+    harness.advance(SECOND);
     let trial = first_request_at(&mut harness, 11, "trial");
     harness.handle(&[Event::RunningSince { server: ServerId(11), since: connected_since }]);
     harness.first_token(&trial, 1);
-    harness.outcome(&trial, 1, Status::Served, 0.0, Load::default());
+    harness.end_attempt_with_report(&trial, 1, Status::Served, 0.0, Load::default());
     let recovered = requests_served_at(&mut harness, 11, "after");
     assert!(recovered >= 10, "{recovered} of 80 requests after the recovery");
 }
@@ -276,13 +276,13 @@
     let [unaffected, broken, ..] = requests_at_11[..] else {
         panic!("fewer than two requests at writer 11: {requests_at_11:?}")
     };
-    harness.ended(broken, 1, Status::Reset);
+    harness.end_attempt(broken, 1, Status::Reset);
     for name in names.iter().filter(|name| *name != broken) {
         harness.first_token(name, 1);
-        harness.outcome(name, 1, Status::Served, 0.0, Load::default());
+        harness.end_attempt_with_report(name, 1, Status::Served, 0.0, Load::default());
     }
     assert_ne!(unaffected, broken);
-    harness.wait(SECOND);
+    harness.advance(SECOND);
     let recovered = requests_served_at(&mut harness, 11, "after");
     assert!(recovered >= 10, "{recovered} of 80 requests after the recovery");
 }
@@ -297,9 +297,9 @@
     #[case] requests_per_router: usize,
 ) {
     let started_at = 100_000_000 - SECOND;
-    let cold = Entry { started_at, ..zoned(11, 0) };
-    let others = |condition| (12..18).map(move |n| Entry { condition, ..zoned(n, n % 3) });
-    let readers = [zoned(1, 0), zoned(2, 1), zoned(3, 2)];
+    let cold = Entry { started_at, ..entry_in_zone(11, 0) };
+    let others = |condition| (12..18).map(move |n| Entry { condition, ..entry_in_zone(n, n % 3) });
+    let readers = [entry_in_zone(1, 0), entry_in_zone(2, 1), entry_in_zone(3, 2)];
     let entries =
         |condition| readers.iter().cloned().chain([cold.clone()]).chain(others(condition)).collect();
     let mut sent = 0;
@@ -313,8 +313,8 @@
             ..settings()
         };
         let mut harness = Harness::new(settings, &[]);
-        harness.roster(entries(Condition::Ready));
-        harness.roster(entries(Condition::Gone));
+        harness.set_full_roster(entries(Condition::Ready));
+        harness.set_full_roster(entries(Condition::Gone));
         let name = |n: usize| format!("s-{number}-{n}");
         sent += (0..requests_per_router)
             .filter(|n| writer_of_request(&mut harness, &name(*n)) == Some(11))
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,8 +25,8 @@
     Entry { server: ServerId(server), kind, ..Entry::default() }
 }
 
-/// A server in the only cell of a zone.
-pub fn zoned(server: u32, zone: u32) -> Entry {
+/// Roster entry of a server in the only cell of the given zone.
+pub fn entry_in_zone(server: u32, zone: u32) -> Entry {
     Entry { zone, cell: zone, ..entry(server) }
 }
 
@@ -48,7 +48,7 @@
     pub fn new(settings: Settings, servers: &[u32]) -> Self {
         let router = Router::new(settings, 1).expect("valid settings");
         let mut harness = Self { router, now: 100_000_000 };
-        harness.roster(servers.iter().map(|server| entry(*server)).collect());
+        harness.set_full_roster(servers.iter().map(|server| entry(*server)).collect());
         harness
     }
 
@@ -62,19 +62,21 @@
         actions
     }
 
-    pub fn roster(&mut self, entries: Vec<Entry>) -> Vec<Action> {
+    pub fn set_full_roster(&mut self, entries: Vec<Entry>) -> Vec<Action> {
         self.handle(&[Event::Roster { form: RosterForm::Full, entries }])
     }
 
-    pub fn ask(&mut self, arrival: Arrival) -> Vec<Action> {
+    /// Submits a request.
+    pub fn submit(&mut self, arrival: Arrival) -> Vec<Action> {
         self.handle(&[Event::Request(arrival)])
     }
 
-    pub fn ended(&mut self, name: &str, attempt: u32, status: Status) -> Vec<Action> {
-        self.outcome(name, attempt, status, 0.0, Load::default())
+    /// Ends an attempt without a load report.
+    pub fn end_attempt(&mut self, name: &str, attempt: u32, status: Status) -> Vec<Action> {
+        self.end_attempt_with_report(name, attempt, status, 0.0, Load::default())
     }
 
-    pub fn outcome(
+    pub fn end_attempt_with_report(
         &mut self,
         name: &str,
         attempt: u32,
@@ -98,8 +100,8 @@
     }
 
     /// Advances the clock in ticks of 20 ms; returns all actions that were taken meanwhile.
-    pub fn wait(&mut self, span: Micros) -> Vec<Action> {
-        let end = self.now + span;
+    pub fn advance(&mut self, duration: Micros) -> Vec<Action> {
+        let end = self.now + duration;
         let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 20_000).min(end);
@@ -109,38 +111,42 @@
     }
 
     /// Completes the read attempt of a request 50 ms later; returns the actions that follow.
-    pub fn read(&mut self, name: &str, attempt: u32) -> Vec<Action> {
+    pub fn complete_read(&mut self, name: &str, attempt: u32) -> Vec<Action> {
         self.now += 50_000;
-        self.ended(name, attempt, Status::Read)
+        self.end_attempt(name, attempt, Status::Read)
     }
 }
 
 /// Returns the servers to which the request was sent, in order.
-pub fn sends(actions: &[Action], name: &str) -> Vec<u32> {
-    let target = |action: &Action| match action {
+pub fn servers_sent_to(actions: &[Action], name: &str) -> Vec<u32> {
+    let server_of_send = |action: &Action| match action {
         Action::Send { id: sent_id, server, .. } if *sent_id == id(name) => Some(server.0),
         _ => None,
     };
-    actions.iter().filter_map(target).collect()
+    actions.iter().filter_map(server_of_send).collect()
 }
 
-/// Returns all sends as pairs of request id and server, in order.
-pub fn all_sends(actions: &[Action]) -> Vec<(String, u32)> {
-    let target = |action: &Action| match action {
+/// Returns the request id and the server of every send, in order.
+pub fn all_requests_sent(actions: &[Action]) -> Vec<(String, u32)> {
+    let request_and_server = |action: &Action| match action {
         Action::Send { id, server, .. } => Some((id.0.to_string(), server.0)),
         _ => None,
     };
-    actions.iter().filter_map(target).collect()
+    actions.iter().filter_map(request_and_server).collect()
 }
 
-pub fn refused(actions: &[Action], name: &str) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: refused_id, .. } if *refused_id == id(name)))
+pub fn is_refused(actions: &[Action], name: &str) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Refuse { id: refused_id, .. } if *refused_id == id(name)))
 }
 
-pub fn failed(actions: &[Action], name: &str) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { id: failed_id, .. } if *failed_id == id(name)))
+pub fn is_failed(actions: &[Action], name: &str) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Fail { id: failed_id, .. } if *failed_id == id(name)))
 }
 
-pub fn released(actions: &[Action], name: &str) -> bool {
+pub fn is_released(actions: &[Action], name: &str) -> bool {
     actions.contains(&Action::Release { id: id(name) })
 }
--- a/tests/dangers.rs
+++ b/tests/dangers.rs
@@ -7,10 +7,10 @@
 #[test]
 fn events_for_unknown_requests_are_ignored() {
     let mut harness = Harness::new(settings(), &[1, 11]);
-    assert_eq!(harness.ended("nobody", 0, Status::Read), []);
+    assert_eq!(harness.end_attempt("nobody", 0, Status::Read), []);
     assert_eq!(harness.first_token("nobody", 3), []);
-    harness.ask(arrival("a"));
-    assert!(all_sends(&harness.ended("a", 9, Status::Reset)).is_empty());
+    harness.submit(arrival("a"));
+    assert!(all_requests_sent(&harness.end_attempt("a", 9, Status::Reset)).is_empty());
     let client_left = Event::Abandoned { id: id("x") };
     assert_eq!(harness.handle(&[client_left, Event::Timer { token: 99 }]), []);
 }
@@ -19,11 +19,15 @@
 fn unusual_rosters_and_requests_are_refused_or_failed() {
     for servers in [&[][..], &[1], &[11], &[21], &[1, 11], &[21, 22]] {
         let mut harness = Harness::new(settings(), servers);
-        let mut actions = harness.ask(Arrival { prompt_tokens: 0.0, max_output_tokens: 0.0, ..arrival("a") });
-        actions.extend(harness.ask(Arrival { class: 7, tenant: 9, ..arrival("b") }));
-        actions.extend(harness.wait(6_000_000));
+        let mut actions =
+            harness.submit(Arrival { prompt_tokens: 0.0, max_output_tokens: 0.0, ..arrival("a") });
+        actions.extend(harness.submit(Arrival { class: 7, tenant: 9, ..arrival("b") }));
+        actions.extend(harness.advance(6_000_000));
         for name in ["a", "b"] {
-            assert!(refused(&actions, name) || failed(&actions, name), "{servers:?} {name}: {actions:?}");
+            assert!(
+                is_refused(&actions, name) || is_failed(&actions, name),
+                "{servers:?} {name}: {actions:?}"
+            );
         }
     }
 }
@@ -39,14 +43,18 @@
     let mut harness = Harness::new(settings(), &[1, 2, 11]);
     for number in 0..3 {
         let name = number.to_string();
-        harness.ask(arrival(&name));
-        harness.read(&name, 0);
+        harness.submit(arrival(&name));
+        harness.complete_read(&name, 0);
     }
-    harness.wait(320_000);
-    assert!(sends(&harness.ask(arrival("more")), "more").is_empty());
+    harness.advance(320_000);
+    assert!(servers_sent_to(&harness.submit(arrival("more")), "more").is_empty());
     let actions: Vec<Action> =
         (0..3).flat_map(|number| harness.first_token(&number.to_string(), 1)).collect();
-    assert_eq!(sends(&actions, "more").len(), 1, "no request was sent after the writer had responded");
+    assert_eq!(
+        servers_sent_to(&actions, "more").len(),
+        1,
+        "no request was sent after the writer had responded"
+    );
 }
 
 // One request that waited for long excluded a writer that answered all others. Prompts that had been read
@@ -55,16 +63,16 @@
 fn writer_that_answers_other_requests_is_not_excluded_for_a_waiting_one() {
     let mut harness = Harness::new(settings(), &[1, 2]);
     let cold = Entry { started_at: harness.now - 100_000, ..entry(12) };
-    harness.roster(vec![entry(1), entry(2), entry(11), cold]);
-    harness.ask(Arrival { class: 1, ..arrival("waits") });
-    assert_eq!(sends(&harness.read("waits", 0), "waits"), [11]);
-    harness.ask(arrival("b"));
-    harness.read("b", 0);
-    assert_eq!(sends(&harness.ask(arrival("c")), "c").len(), 1);
-    harness.wait(500_000);
+    harness.set_full_roster(vec![entry(1), entry(2), entry(11), cold]);
+    harness.submit(Arrival { class: 1, ..arrival("waits") });
+    assert_eq!(servers_sent_to(&harness.complete_read("waits", 0), "waits"), [11]);
+    harness.submit(arrival("b"));
+    harness.complete_read("b", 0);
+    assert_eq!(servers_sent_to(&harness.submit(arrival("c")), "c").len(), 1);
+    harness.advance(500_000);
     harness.first_token("b", 1);
-    harness.wait(100_000);
-    assert_eq!(sends(&harness.read("c", 0), "c"), [11]);
+    harness.advance(100_000);
+    assert_eq!(servers_sent_to(&harness.complete_read("c", 0), "c"), [11]);
 }
 
 // Room at a writer in slow start allowed every prompt to be read, although that writer takes only the few
@@ -73,19 +81,20 @@
 fn no_prompt_is_read_if_only_writers_that_may_not_take_it_have_room() {
     let mut harness = Harness::new(settings(), &[1, 2]);
     let cold = Entry { started_at: harness.now - 100_000, ..entry(12) };
-    harness.roster(vec![entry(1), entry(2), entry(11), cold]);
+    harness.set_full_roster(vec![entry(1), entry(2), entry(11), cold]);
     let names: Vec<_> = (0..24).map(|number| number.to_string()).collect();
     for name in &names[..3] {
-        harness.ask(arrival(name));
-        harness.read(name, 0);
+        harness.submit(arrival(name));
+        harness.complete_read(name, 0);
     }
-    harness.wait(320_000);
-    let sent_names = names[3..].iter().filter(|name| !sends(&harness.ask(arrival(name)), name).is_empty());
+    harness.advance(320_000);
+    let sent_names =
+        names[3..].iter().filter(|name| !servers_sent_to(&harness.submit(arrival(name)), name).is_empty());
     let read_names: Vec<_> = sent_names.collect();
     assert!(!read_names.is_empty(), "some requests may go to the cold writer");
     for name in read_names {
         assert_eq!(
-            sends(&harness.read(name, 0), name),
+            servers_sent_to(&harness.complete_read(name, 0), name),
             [12],
             "a prompt was read for a writer that may not take it"
         );
@@ -98,13 +107,13 @@
 fn server_in_slow_start_takes_more_requests_the_longer_it_runs() {
     let accepted_at_age = |age: Micros| {
         let mut harness = Harness::new(settings(), &[]);
-        harness.roster(vec![Entry { started_at: harness.now - age, ..entry(3) }, entry(11)]);
+        harness.set_full_roster(vec![Entry { started_at: harness.now - age, ..entry(3) }, entry(11)]);
         let names = (0..300).map(|number| number.to_string());
         let accepted = names.filter(|name| {
-            let sent = sends(&harness.ask(arrival(name)), name);
+            let sent = servers_sent_to(&harness.submit(arrival(name)), name);
             harness.handle(&[Event::Abandoned { id: id(name) }]);
             if !sent.is_empty() {
-                harness.ended(name, 0, Status::Cancelled);
+                harness.end_attempt(name, 0, Status::Cancelled);
             }
             !sent.is_empty()
         });
@@ -118,10 +127,10 @@
 #[test]
 fn read_at_a_silent_reader_is_cancelled_and_moved() {
     let mut harness = Harness::new(settings(), &[1, 2, 11]);
-    let first_reader = sends(&harness.ask(arrival("a")), "a")[0];
-    let actions = harness.wait(3_000_000);
+    let first_reader = servers_sent_to(&harness.submit(arrival("a")), "a")[0];
+    let actions = harness.advance(3_000_000);
     assert!(actions.contains(&Action::Cancel { id: id("a"), attempt: 0 }));
-    let second_reader = sends(&harness.ended("a", 0, Status::Cancelled), "a");
+    let second_reader = servers_sent_to(&harness.end_attempt("a", 0, Status::Cancelled), "a");
     assert_eq!(second_reader.len(), 1);
     assert_ne!(second_reader[0], first_reader);
 }
@@ -129,15 +138,17 @@
 #[test]
 fn failing_reader_is_backed_off_then_tried_with_one_request() {
     let mut harness = Harness::new(settings(), &[1, 2, 11]);
-    let failing_reader = sends(&harness.ask(arrival("a")), "a")[0];
-    harness.ended("a", 0, Status::Error);
+    let failing_reader = servers_sent_to(&harness.submit(arrival("a")), "a")[0];
+    harness.end_attempt("a", 0, Status::Error);
     for number in 0..3 {
         let name = number.to_string();
-        assert!(!sends(&harness.ask(arrival(&name)), &name).contains(&failing_reader));
+        assert!(!servers_sent_to(&harness.submit(arrival(&name)), &name).contains(&failing_reader));
     }
     harness.now += 600_000;
     let later_readers: Vec<u32> = (3..7)
-        .flat_map(|number| sends(&harness.ask(arrival(&number.to_string())), &number.to_string()))
+        .flat_map(|number| {
+            servers_sent_to(&harness.submit(arrival(&number.to_string())), &number.to_string())
+        })
         .collect();
     assert_eq!(later_readers.iter().filter(|s| **s == failing_reader).count(), 1, "{later_readers:?}");
 }
@@ -151,11 +162,11 @@
     let mut sent = 0;
     for number in 0..60 {
         let name = number.to_string();
-        let Some(&server) = sends(&harness.ask(arrival(&name)), &name).first() else { continue };
+        let Some(&server) = servers_sent_to(&harness.submit(arrival(&name)), &name).first() else { continue };
         let is_failing_server = *failing_server.get_or_insert(server) == server;
         sent += u32::from(is_failing_server);
         harness.now += 100_000;
-        harness.ended(
+        harness.end_attempt(
             &name,
             0,
             if is_failing_server && sent % 2 == 1 { Status::Error } else { Status::Read },
@@ -169,20 +180,20 @@
 #[test]
 fn failure_of_every_reader_does_not_exclude_them_all() {
     let mut harness = Harness::new(settings(), &[1, 2, 11]);
-    harness.ask(arrival("a"));
-    harness.ended("a", 0, Status::Reset);
-    harness.ended("a", 1, Status::Reset);
-    let actions = harness.ask(arrival("b"));
-    assert_eq!(sends(&actions, "b").len(), 1);
+    harness.submit(arrival("a"));
+    harness.end_attempt("a", 0, Status::Reset);
+    harness.end_attempt("a", 1, Status::Reset);
+    let actions = harness.submit(arrival("b"));
+    assert_eq!(servers_sent_to(&actions, "b").len(), 1);
 }
 
 #[test]
 fn reads_are_cancelled_at_most_once_per_reader_if_all_readers_are_slow() {
     let mut harness = Harness::new(settings(), &[1, 2, 3, 11]);
     for number in 0..6 {
-        harness.ask(arrival(&number.to_string()));
+        harness.submit(arrival(&number.to_string()));
     }
-    let actions = harness.wait(2_500_000);
+    let actions = harness.advance(2_500_000);
     let cancelled = actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
     assert!(cancelled <= 3, "more cancellations than readers: {actions:?}");
 }
@@ -192,11 +203,11 @@
     let mut harness = Harness::new(Settings { tenant_rates: vec![2.0, 100.0], ..settings() }, &[1, 11]);
     let mut actions = Vec::new();
     for number in 0..8 {
-        actions.extend(harness.ask(Arrival { tenant: 0, ..arrival(&format!("greedy{number}")) }));
+        actions.extend(harness.submit(Arrival { tenant: 0, ..arrival(&format!("greedy{number}")) }));
     }
-    actions.extend(harness.ask(Arrival { tenant: 1, ..arrival("modest") }));
-    assert!(refused(&actions, "greedy7"));
-    assert!(!refused(&actions, "modest"));
+    actions.extend(harness.submit(Arrival { tenant: 1, ..arrival("modest") }));
+    assert!(is_refused(&actions, "greedy7"));
+    assert!(!is_refused(&actions, "modest"));
 }
 
 // After the loss of a building all its clients came back at once to resume their answers. Counted again, they
@@ -206,9 +217,9 @@
     let mut harness = Harness::new(Settings { tenant_rates: vec![2.0, 100.0], ..settings() }, &[1, 11]);
     let mut actions = Vec::new();
     for number in 0..8 {
-        actions.extend(harness.ask(Arrival { resumed: true, ..arrival(&format!("back{number}")) }));
+        actions.extend(harness.submit(Arrival { resumed: true, ..arrival(&format!("back{number}")) }));
     }
-    assert!((0..8).all(|number| !refused(&actions, &format!("back{number}"))), "{actions:?}");
+    assert!((0..8).all(|number| !is_refused(&actions, &format!("back{number}"))), "{actions:?}");
 }
 
 fn of_session(name: &str, session: &str) -> Arrival {
@@ -221,24 +232,32 @@
 #[rstest::rstest]
 #[case::slow_read(|harness: &mut Harness| {
     harness.now += 1_200_000;
-    harness.ended("late", 0, Status::Read);
+    harness.end_attempt("late", 0, Status::Read);
 })]
-#[case::rejected(|harness: &mut Harness| { harness.ended("late", 0, Status::Rejected); })]
+#[case::rejected(|harness: &mut Harness| { harness.end_attempt("late", 0, Status::Rejected); })]
 #[case::reported_queue(|harness: &mut Harness| {
     let load = Load { queued_kilotokens: Some(20.0), ..Load::default() };
-    harness.outcome("late", 0, Status::Read, 0.0, load);
+    harness.end_attempt_with_report("late", 0, Status::Read, 0.0, load);
 })]
 fn router_uses_another_zone_while_reads_in_its_own_zone_wait(#[case] slow_down: fn(&mut Harness)) {
     let mut harness = Harness::new(settings(), &[]);
-    harness
-        .roster([1, 2, 3].map(|s| zoned(s, 0)).into_iter().chain([4, 5, 6].map(|s| zoned(s, 1))).collect());
-    harness.handle(&[Event::Roster { form: RosterForm::Delta, entries: vec![zoned(11, 0), zoned(12, 1)] }]);
-    assert!(sends(&harness.ask(of_session("late", "late")), "late")[0] < 4);
+    harness.set_full_roster(
+        [1, 2, 3]
+            .map(|s| entry_in_zone(s, 0))
+            .into_iter()
+            .chain([4, 5, 6].map(|s| entry_in_zone(s, 1)))
+            .collect(),
+    );
+    harness.handle(&[Event::Roster {
+        form: RosterForm::Delta,
+        entries: vec![entry_in_zone(11, 0), entry_in_zone(12, 1)],
+    }]);
+    assert!(servers_sent_to(&harness.submit(of_session("late", "late")), "late")[0] < 4);
     slow_down(&mut harness);
     let preferred_reader = |harness: &mut Harness, name: &str| {
-        let server = sends(&harness.ask(of_session(name, name)), name)[0];
+        let server = servers_sent_to(&harness.submit(of_session(name, name)), name)[0];
         harness.handle(&[Event::Abandoned { id: id(name) }]);
-        harness.ended(name, 0, Status::Cancelled);
+        harness.end_attempt(name, 0, Status::Cancelled);
         server
     };
     assert!(preferred_reader(&mut harness, "then") > 3);
@@ -251,11 +270,11 @@
 fn read_slowly(harness: &mut Harness) {
     for number in 0..5 {
         let name = format!("slow{number}");
-        harness.ask(arrival(&name));
+        harness.submit(arrival(&name));
         harness.now += 750_000;
-        harness.ended(&name, 0, Status::Read);
+        harness.end_attempt(&name, 0, Status::Read);
         harness.first_token(&name, 1);
-        harness.ended(&name, 1, Status::Served);
+        harness.end_attempt(&name, 1, Status::Served);
     }
 }
 
@@ -264,10 +283,13 @@
 fn overdue_limit_of_a_read_includes_the_waits_of_its_zone() {
     let mut harness = Harness::new(settings(), &[1, 2, 11]);
     read_slowly(&mut harness);
-    harness.ask(Arrival { prompt_tokens: 1.0, ..arrival("waits") });
+    harness.submit(Arrival { prompt_tokens: 1.0, ..arrival("waits") });
     let cancelled = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
-    assert!(!cancelled(&harness.wait(1_500_000)));
-    assert!(cancelled(&harness.wait(4_000_000)), "a read without any response must be cancelled in the end");
+    assert!(!cancelled(&harness.advance(1_500_000)));
+    assert!(
+        cancelled(&harness.advance(4_000_000)),
+        "a read without any response must be cancelled in the end"
+    );
 }
 
 // Readers in slow start get a hashed part of the requests, so their queues are short while warm readers are
@@ -278,13 +300,15 @@
     let mut harness = Harness::new(settings(), &[1, 2, 11]);
     read_slowly(&mut harness);
     let cold_reader = Entry { started_at: harness.now - 13_000_000, ..entry(3) };
-    harness.roster(vec![entry(1), entry(2), cold_reader, entry(11)]);
+    harness.set_full_roster(vec![entry(1), entry(2), cold_reader, entry(11)]);
     let names = (0..40).map(|number| format!("a{number}"));
     let is_sent_to_cold_reader = |name: &String| {
-        let sent = sends(&harness.ask(Arrival { prompt_tokens: 1.0, ..of_session(name, name) }), name) == [3];
+        let sent =
+            servers_sent_to(&harness.submit(Arrival { prompt_tokens: 1.0, ..of_session(name, name) }), name)
+                == [3];
         if !sent {
             harness.handle(&[Event::Abandoned { id: id(name) }]);
-            harness.ended(name, 0, Status::Cancelled);
+            harness.end_attempt(name, 0, Status::Cancelled);
         }
         sent
     };
@@ -297,7 +321,7 @@
     };
     // Overdue after eight times 0.2 s; the waits of the warm readers would make that eight times 0.6 s.
     assert!(
-        cancelled(&harness.wait(2_500_000)),
+        cancelled(&harness.advance(2_500_000)),
         "the read must be cancelled by the waits of cold readers alone"
     );
 }
@@ -310,14 +334,14 @@
         let mut harness = Harness::new(settings, &[1, 2, 3, 4, 5, 11]);
         for earlier_number in 0..10 {
             let name = format!("e{earlier_number}");
-            harness.ask(of_session(&name, &format!("session{number}-{earlier_number}")));
+            harness.submit(of_session(&name, &format!("session{number}-{earlier_number}")));
             harness.handle(&[Event::Abandoned { id: id(&name) }]);
-            harness.ended(&name, 0, Status::Cancelled);
+            harness.end_attempt(&name, 0, Status::Cancelled);
             harness.now += interval;
         }
         let cold = Entry { started_at: harness.now - 1_000_000, ..entry(6) };
-        harness.roster(vec![entry(1), entry(2), entry(3), entry(4), cold, entry(11)]);
-        sends(&harness.ask(of_session("a", &format!("session{number}"))), "a") == [6]
+        harness.set_full_roster(vec![entry(1), entry(2), entry(3), entry(4), cold, entry(11)]);
+        servers_sent_to(&harness.submit(of_session("a", &format!("session{number}"))), "a") == [6]
     };
     (0..400).filter(is_sent_to_cold).count()
 }
@@ -354,8 +378,16 @@
         let mut harness = Harness::new(settings(), &[1, 2, 3, 4, 11]);
         let draining = |server| Entry { condition: Condition::Draining, ..entry(server) };
         let cold = |server| Entry { started_at: harness.now - 1_000_000, ..entry(server) };
-        harness.roster(vec![entry(1), entry(2), draining(3), draining(4), cold(5), cold(6), entry(11)]);
-        sends(&harness.ask(of_session("a", &format!("session{number}"))), "a")[0] > 4
+        harness.set_full_roster(vec![
+            entry(1),
+            entry(2),
+            draining(3),
+            draining(4),
+            cold(5),
+            cold(6),
+            entry(11),
+        ]);
+        servers_sent_to(&harness.submit(of_session("a", &format!("session{number}"))), "a")[0] > 4
     };
     let sent = (0..400).filter(is_sent_to_cold).count();
     // Half of the requests prefer a cold reader; 0.37 of these are sent there (0.25 with the failure).
@@ -365,8 +397,8 @@
 /// Server of a request's first attempt at a router of its own, one of many equal routers.
 fn first_server_at_own_router(number: u32, entries: &[Entry]) -> Option<u32> {
     let mut harness = Harness::new(settings(), &[]);
-    harness.roster(entries.to_vec());
-    sends(&harness.ask(of_session("a", &format!("session{number}"))), "a").first().copied()
+    harness.set_full_roster(entries.to_vec());
+    servers_sent_to(&harness.submit(of_session("a", &format!("session{number}"))), "a").first().copied()
 }
 
 #[test]
@@ -383,23 +415,30 @@
 // got all of them. In production such a reader collapsed under the load.
 #[test]
 fn cold_reader_of_a_small_zone_or_a_common_prefix_gets_no_more_than_others() {
-    let cold = |server, zone| Entry { started_at: 99_000_000, ..zoned(server, zone) };
-    let small_zone_fleet =
-        [cold(1, 0), zoned(2, 1), zoned(3, 1), zoned(4, 1), zoned(5, 1), zoned(6, 1), zoned(11, 0)];
+    let cold = |server, zone| Entry { started_at: 99_000_000, ..entry_in_zone(server, zone) };
+    let small_zone_fleet = [
+        cold(1, 0),
+        entry_in_zone(2, 1),
+        entry_in_zone(3, 1),
+        entry_in_zone(4, 1),
+        entry_in_zone(5, 1),
+        entry_in_zone(6, 1),
+        entry_in_zone(11, 0),
+    ];
     let sent =
         (0..400).filter(|number| first_server_at_own_router(*number, &small_zone_fleet) == Some(1)).count();
     // Half of all traffic may arrive in this zone; 0.4 of a sixth of all traffic is 53 of these requests.
     assert!((15..85).contains(&sent), "{sent} of 400 requests");
-    let entries = [1, 2, 3, 4, 5, 6, 7, 8].map(|s| if s == 8 { cold(8, 0) } else { zoned(s, 0) });
+    let entries = [1, 2, 3, 4, 5, 6, 7, 8].map(|s| if s == 8 { cold(8, 0) } else { entry_in_zone(s, 0) });
     let mut harness = Harness::new(settings(), &[]);
-    harness.roster(entries.into_iter().chain([zoned(11, 0)]).collect());
+    harness.set_full_roster(entries.into_iter().chain([entry_in_zone(11, 0)]).collect());
     let mut sent_to_cold = 0;
     for number in 0..400 {
         let name = format!("a{number}");
         let shared_prefix_request = Arrival { prefix: Some("usual".into()), ..of_session(&name, &name) };
-        sent_to_cold += usize::from(sends(&harness.ask(shared_prefix_request), &name) == [8]);
+        sent_to_cold += usize::from(servers_sent_to(&harness.submit(shared_prefix_request), &name) == [8]);
         harness.handle(&[Event::Abandoned { id: id(&name) }]);
-        harness.ended(&name, 0, Status::Cancelled);
+        harness.end_attempt(&name, 0, Status::Cancelled);
         harness.now += 1;
     }
     assert!(
@@ -420,10 +459,10 @@
     let mut sent_to_cold = (0, 0);
     for number in 0..400 {
         let mut harness = Harness::new(settings(), &[]);
-        harness.roster(entries.clone());
+        harness.set_full_roster(entries.clone());
         let name = format!("a{number}");
-        let reader = sends(&harness.ask(of_session(&name, &name)), &name);
-        let writer = sends(&harness.read(&name, 0), &name);
+        let reader = servers_sent_to(&harness.submit(of_session(&name, &name)), &name);
+        let writer = servers_sent_to(&harness.complete_read(&name, 0), &name);
         sent_to_cold.0 += usize::from(reader[0] > 4);
         sent_to_cold.1 += usize::from(writer[0] > 14);
     }
@@ -451,10 +490,10 @@
 /// the prompt.
 fn writer_at_own_router(number: u32, entries: &[Entry], reader: u32) -> Option<u32> {
     let mut harness = Harness::new(settings(), &[]);
-    harness.roster(entries.to_vec());
+    harness.set_full_roster(entries.to_vec());
     let name = format!("a{number}");
-    let sent = sends(&harness.ask(of_session(&name, &name)), &name);
-    (sent == [reader]).then(|| sends(&harness.read(&name, 0), &name)[0])
+    let sent = servers_sent_to(&harness.submit(of_session(&name, &name)), &name);
+    (sent == [reader]).then(|| servers_sent_to(&harness.complete_read(&name, 0), &name)[0])
 }
 
 #[test]
@@ -493,8 +532,8 @@
     for number in 0..12 {
         let mut first_router = Harness::new(settings(), &[1, 2, 11]);
         let mut second_router = Harness::new(settings(), &[1, 2, 11]);
-        let preferred = sends(&first_router.ask(with_prefix(number)), "a");
-        assert_eq!(preferred, sends(&second_router.ask(with_prefix(number)), "a"));
+        let preferred = servers_sent_to(&first_router.submit(with_prefix(number)), "a");
+        assert_eq!(preferred, servers_sent_to(&second_router.submit(with_prefix(number)), "a"));
         preferred_readers.extend(preferred);
     }
     assert_eq!(preferred_readers.len(), 2, "the prefixes must be spread over both readers");
@@ -508,14 +547,14 @@
             prompt_tokens,
             ..of_session(name, &format!("talk{number}"))
         };
-        let failed_reader = sends(&harness.ask(turn("turn0", 4_000.0)), "turn0");
-        let caching_reader = sends(&harness.ended("turn0", 0, Status::Error), "turn0");
+        let failed_reader = servers_sent_to(&harness.submit(turn("turn0", 4_000.0)), "turn0");
+        let caching_reader = servers_sent_to(&harness.end_attempt("turn0", 0, Status::Error), "turn0");
         assert_ne!(failed_reader, caching_reader);
-        harness.read("turn0", 1);
+        harness.complete_read("turn0", 1);
         harness.first_token("turn0", 2);
-        harness.wait(1_000_000);
+        harness.advance(1_000_000);
         assert_eq!(
-            sends(&harness.ask(turn("turn1", 4_050.0)), "turn1"),
+            servers_sent_to(&harness.submit(turn("turn1", 4_050.0)), "turn1"),
             caching_reader,
             "the session must return to the reader that has its prompt"
         );
@@ -530,14 +569,15 @@
     let mut cancelled_reads = 0;
     for number in 0..30 {
         let name = format!("a{number}");
-        harness.ask(arrival(&name));
-        let actions = harness.wait(3_000_000);
+        harness.submit(arrival(&name));
+        let actions = harness.advance(3_000_000);
         let cancelled_now = actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
         cancelled_reads += cancelled_now;
-        (0..cancelled_now as u32).for_each(|attempt| drop(harness.ended(&name, attempt, Status::Cancelled)));
-        harness.ended(&name, cancelled_now as u32, Status::Read);
+        (0..cancelled_now as u32)
+            .for_each(|attempt| drop(harness.end_attempt(&name, attempt, Status::Cancelled)));
+        harness.end_attempt(&name, cancelled_now as u32, Status::Read);
         harness.first_token(&name, cancelled_now as u32 + 1);
-        harness.ended(&name, cancelled_now as u32 + 1, Status::Served);
+        harness.end_attempt(&name, cancelled_now as u32 + 1, Status::Served);
         harness.now += 20_000_000;
     }
     assert!((1..=8).contains(&cancelled_reads), "{cancelled_reads} reads of 30 slow requests were cancelled");
@@ -547,25 +587,25 @@
 #[rstest::rstest]
 #[case::queued(&[11], |_: &mut Harness| {})]
 #[case::reading(&[1, 2, 11], |_: &mut Harness| {})]
-#[case::between_attempts(&[1, 11], |harness: &mut Harness| { harness.ended("a", 0, Status::Reset); })]
-#[case::read_without_a_free_writer(&[1], |harness: &mut Harness| { harness.read("a", 0); })]
-#[case::writing(&[1, 2, 11, 12], |harness: &mut Harness| { harness.read("a", 0); })]
+#[case::between_attempts(&[1, 11], |harness: &mut Harness| { harness.end_attempt("a", 0, Status::Reset); })]
+#[case::read_without_a_free_writer(&[1], |harness: &mut Harness| { harness.complete_read("a", 0); })]
+#[case::writing(&[1, 2, 11, 12], |harness: &mut Harness| { harness.complete_read("a", 0); })]
 fn nothing_is_sent_after_the_client_disconnects(
     #[case] servers: &[u32],
     #[case] reach_phase: fn(&mut Harness),
 ) {
     let mut harness = Harness::new(settings(), servers);
-    harness.ask(arrival("a"));
+    harness.submit(arrival("a"));
     reach_phase(&mut harness);
     let mut actions = harness.handle(&[Event::Abandoned { id: id("a") }]);
     for attempt in 0..3 {
-        actions.extend(harness.ended("a", attempt, Status::Read));
+        actions.extend(harness.end_attempt("a", attempt, Status::Read));
     }
-    harness.roster([1, 2, 3, 11, 12, 13].map(entry).to_vec());
+    harness.set_full_roster([1, 2, 3, 11, 12, 13].map(entry).to_vec());
     for _ in 0..20 {
-        actions.extend(harness.wait(100_000));
+        actions.extend(harness.advance(100_000));
     }
-    assert_eq!(all_sends(&actions), []);
+    assert_eq!(all_requests_sent(&actions), []);
 }
 
 // A cancelled read that was waiting still runs at its reader, and the prompt is read again elsewhere, often
@@ -574,11 +614,11 @@
 #[test]
 fn read_is_not_cancelled_at_a_few_times_its_expected_duration() {
     let mut harness = Harness::new(settings(), &[1, 2, 11]);
-    harness.ask(arrival("a"));
+    harness.submit(arrival("a"));
     let cancelled = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
     // The expected duration is 0.3 s.
-    assert!(!cancelled(&harness.wait(2_000_000)));
-    assert!(cancelled(&harness.wait(1_000_000)), "a silent read must be cancelled in the end");
+    assert!(!cancelled(&harness.advance(2_000_000)));
+    assert!(cancelled(&harness.advance(1_000_000)), "a silent read must be cancelled in the end");
 }
 
 // The router waited for a send over a silent connection while the reader held the state. The state must be
@@ -587,13 +627,13 @@
 fn state_of_an_unanswered_send_is_released_once() {
     for class in [0, 1] {
         let mut harness = Harness::new(Settings { max_state_hold: 300_000, ..settings() }, &[1, 2, 11, 12]);
-        harness.ask(Arrival { class, ..arrival("a") });
-        let writer = sends(&harness.read("a", 0), "a");
-        assert!(!released(&harness.wait(200_000), "a"), "the state was released too early");
-        assert!(released(&harness.wait(100_000), "a"));
-        assert!(!released(&harness.wait(100_000), "a"), "the state was released twice");
-        let actions = harness.outcome("a", 1, Status::Rejected, 1.0, Load::default());
-        let reader = sends(&actions, "a");
+        harness.submit(Arrival { class, ..arrival("a") });
+        let writer = servers_sent_to(&harness.complete_read("a", 0), "a");
+        assert!(!is_released(&harness.advance(200_000), "a"), "the state was released too early");
+        assert!(is_released(&harness.advance(100_000), "a"));
+        assert!(!is_released(&harness.advance(100_000), "a"), "the state was released twice");
+        let actions = harness.end_attempt_with_report("a", 1, Status::Rejected, 1.0, Load::default());
+        let reader = servers_sent_to(&actions, "a");
         assert!(reader.len() == 1 && reader[0] < 10 && writer[0] > 10, "{writer:?} {actions:?}");
     }
 }
@@ -604,13 +644,13 @@
 fn withdrawn_or_unconnected_sends_do_not_restart_the_hold_timeout() {
     for status in [Status::NeverSent, Status::NoConnection] {
         let mut harness = Harness::new(Settings { max_state_hold: 300_000, ..settings() }, &[1, 2, 11, 12]);
-        harness.ask(arrival("a"));
-        harness.read("a", 0);
-        harness.wait(200_000);
-        let mut actions = harness.ended("a", 1, status);
-        assert_eq!(sends(&actions, "a").len(), 1, "the request must be sent to another writer");
-        actions.extend(harness.wait(100_000));
-        assert!(released(&actions, "a"), "{status:?}");
+        harness.submit(arrival("a"));
+        harness.complete_read("a", 0);
+        harness.advance(200_000);
+        let mut actions = harness.end_attempt("a", 1, status);
+        assert_eq!(servers_sent_to(&actions, "a").len(), 1, "the request must be sent to another writer");
+        actions.extend(harness.advance(100_000));
+        assert!(is_released(&actions, "a"), "{status:?}");
     }
 }
 
@@ -621,13 +661,17 @@
     let window = 1_500_000;
     let keyed = Class { effect: Effect::Keyed { group: Group::All, window }, ..Class::default() };
     let mut harness = Harness::new(Settings { classes: vec![keyed], ..settings() }, &[1, 2, 11, 12]);
-    harness.ask(arrival("a"));
-    harness.read("a", 0);
-    assert_eq!(sends(&harness.ended("a", 1, Status::Reset), "a").len(), 1, "the request must be repeated");
+    harness.submit(arrival("a"));
+    harness.complete_read("a", 0);
+    assert_eq!(
+        servers_sent_to(&harness.end_attempt("a", 1, Status::Reset), "a").len(),
+        1,
+        "the request must be repeated"
+    );
     let cancelled = Action::Cancel { id: id("a"), attempt: 2 };
-    assert!(!harness.wait(1_200_000).contains(&cancelled), "the repeat was cancelled too early");
+    assert!(!harness.advance(1_200_000).contains(&cancelled), "the repeat was cancelled too early");
     // The cancellation needs a margin, since a process may be delayed by 150 ms.
-    assert!(harness.wait(150_000).contains(&cancelled));
-    let actions = harness.ended("a", 2, Status::Cancelled);
-    assert!(refused(&actions, "a") && sends(&actions, "a").is_empty(), "{actions:?}");
+    assert!(harness.advance(150_000).contains(&cancelled));
+    let actions = harness.end_attempt("a", 2, Status::Cancelled);
+    assert!(is_refused(&actions, "a") && servers_sent_to(&actions, "a").is_empty(), "{actions:?}");
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -42,7 +42,7 @@
         let mut router = Harness::new(settings, &[]);
         let reader = |number: &u32| Entry { server: ServerId(*number), ..Entry::default() };
         let writer = |number: u32| Entry { server: ServerId(9_000 + number), kind: 1, ..Entry::default() };
-        router.roster(readers.iter().map(reader).chain((1..4).map(writer)).collect());
+        router.set_full_roster(readers.iter().map(reader).chain((1..4).map(writer)).collect());
         router
     }
 
@@ -58,10 +58,10 @@
 
     /// Sends a request, ends it, and returns the reader that it was sent to.
     fn reader_of_request(&self, router: &mut Harness, name: &str, prefix_number: usize) -> Option<u32> {
-        let sends = all_sends(&router.ask(self.arrival_with_prefix(name, prefix_number)));
+        let sent_requests = all_requests_sent(&router.submit(self.arrival_with_prefix(name, prefix_number)));
         router.handle(&[Event::Abandoned { id: id(name) }]);
-        router.ended(name, 0, Status::Cancelled);
-        sends.first().map(|(_, to)| *to)
+        router.end_attempt(name, 0, Status::Cancelled);
+        sent_requests.first().map(|(_, server)| *server)
     }
 
     /// Sends one request of each prefix, each at a router of its own, and returns their readers.
@@ -156,20 +156,20 @@
     let mut harness = Harness::new(settings(), &[1, 2, 11]);
     let invalid =
         Arrival { prompt_tokens: prompt, prefix_tokens: prefix, prefix: Some("p".into()), ..arrival("odd") };
-    let mut actions = harness.ask(invalid);
-    if !all_sends(&actions).is_empty() {
-        actions.extend(harness.read("odd", 0));
+    let mut actions = harness.submit(invalid);
+    if !all_requests_sent(&actions).is_empty() {
+        actions.extend(harness.complete_read("odd", 0));
         harness.first_token("odd", 1);
-        actions.extend(harness.ended("odd", 1, Status::Served));
+        actions.extend(harness.end_attempt("odd", 1, Status::Served));
     }
-    actions.extend(harness.wait(6_000_000));
+    actions.extend(harness.advance(6_000_000));
     let answers = actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).count();
     assert!(answers <= 1, "{actions:?}");
     for number in 0..12 {
         let name = format!("usual{number}");
-        assert_eq!(all_sends(&harness.ask(arrival(&name))).len(), 1, "{name}");
-        harness.read(&name, 0);
+        assert_eq!(all_requests_sent(&harness.submit(arrival(&name))).len(), 1, "{name}");
+        harness.complete_read(&name, 0);
         harness.first_token(&name, 1);
-        harness.ended(&name, 1, Status::Served);
+        harness.end_attempt(&name, 1, Status::Served);
     }
 }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -378,7 +378,7 @@
         let process = &mut self.processes[number as usize];
         process.starts_known_until = now;
         process.router.now = now;
-        let actions = process.router.roster(entries);
+        let actions = process.router.set_full_roster(entries);
         self.carry_out(number, actions);
     }
 
