--- a/tests/chat.rs
+++ b/tests/chat.rs
@@ -21,7 +21,7 @@
         Self { readers, writers, discovery, daemon }
     }
 
-    fn set(&self, engines: &[Engine; 2], mode: Mode) {
+    fn set_mode(&self, engines: &[Engine; 2], mode: Mode) {
         engines.iter().for_each(|e| e.mode.set(mode));
     }
 
@@ -37,13 +37,16 @@
 
 #[tokio::test]
 async fn events_reach_the_client_unchanged_and_the_job_reaches_both_engines() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
         let answer = chat(world.daemon.address, "a1", "lookup", 9000).await;
-        assert_eq!((answer.status, answer.body, answer.whole), (200, EVENTS.concat(), true));
+        assert_eq!((answer.status, answer.body, answer.complete), (200, EVENTS.concat(), true));
         for engine in world.readers.iter().chain(&world.writers) {
-            for seen in engine.seen.borrow().iter() {
-                assert_eq!((seen.headers["req-id"].as_str(), seen.body.as_slice()), ("a1", CHAT.as_bytes()));
+            for request in engine.received.borrow().iter() {
+                assert_eq!(
+                    (request.headers["req-id"].as_str(), request.body.as_slice()),
+                    ("a1", CHAT_BODY.as_bytes())
+                );
             }
         }
         assert_eq!(
@@ -61,25 +64,26 @@
 #[case::without_a_key(None)]
 #[tokio::test]
 async fn idempotency_key_reaches_every_engine_as_the_client_sent_it(#[case] key: Option<&str>) {
-    local(async {
+    run_local(async {
         let world = World::start().await;
-        world.set(&world.writers, Mode::Declines);
-        world.writers[0].mode.set(Mode::Well);
+        world.set_mode(&world.writers, Mode::Declines);
+        world.writers[0].mode.set(Mode::Healthy);
         let required_headers = [("Req-Kind", "lookup"), ("Req-Owner", "desk"), ("Req-Deadline", "9000m")];
         for n in 0..6 {
             let id = format!("a{n}");
             let mut headers = required_headers.to_vec();
             headers.push(("Req-Id", &id));
             headers.extend(key.map(|key| ("Idempotency-Key", key)));
-            let answer = ask(world.daemon.address, "POST", "/v1/chat/completions", &headers, CHAT).await;
+            let answer =
+                send_request(world.daemon.address, "POST", "/v1/chat/completions", &headers, CHAT_BODY).await;
             assert_eq!(answer.status, 200);
         }
         assert!(world.writers[1].count("/v1/") > 0, "no attempt was repeated");
         for engine in world.readers.iter().chain(&world.writers) {
-            let seen = engine.seen.borrow();
-            let attempts = seen.iter().filter(|seen| seen.path.starts_with("/v1/"));
+            let received = engine.received.borrow();
+            let attempts = received.iter().filter(|request| request.path.starts_with("/v1/"));
             let keys: Vec<_> =
-                attempts.map(|s| s.headers.get("idempotency-key").map(String::as_str)).collect();
+                attempts.map(|request| request.headers.get("idempotency-key").map(String::as_str)).collect();
             assert!(keys.iter().all(|sent| *sent == key), "{keys:?}");
         }
     })
@@ -88,12 +92,12 @@
 
 // A malformed request must not reach an engine, and must not make the gateway panic.
 #[rstest]
-#[case::no_id(&[("Req-Kind", "lookup"), ("Req-Owner", "desk")], CHAT, 400)]
-#[case::id_that_is_a_path(&[("Req-Id", "a/../b"), ("Req-Kind", "lookup"), ("Req-Owner", "desk")], CHAT, 400)]
-#[case::unknown_class(&[("Req-Id", "a"), ("Req-Kind", "poem"), ("Req-Owner", "desk")], CHAT, 400)]
-#[case::unknown_tenant(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "nobody")], CHAT, 400)]
-#[case::deadline_without_unit(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk"), ("Req-Deadline", "5")], CHAT, 400)]
-#[case::negative_prompt_length(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk"), ("Req-Extra", "prompt_len=-1")], CHAT, 400)]
+#[case::no_id(&[("Req-Kind", "lookup"), ("Req-Owner", "desk")], CHAT_BODY, 400)]
+#[case::id_that_is_a_path(&[("Req-Id", "a/../b"), ("Req-Kind", "lookup"), ("Req-Owner", "desk")], CHAT_BODY, 400)]
+#[case::unknown_class(&[("Req-Id", "a"), ("Req-Kind", "poem"), ("Req-Owner", "desk")], CHAT_BODY, 400)]
+#[case::unknown_tenant(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "nobody")], CHAT_BODY, 400)]
+#[case::deadline_without_unit(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk"), ("Req-Deadline", "5")], CHAT_BODY, 400)]
+#[case::negative_prompt_length(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk"), ("Req-Extra", "prompt_len=-1")], CHAT_BODY, 400)]
 #[case::truncated_body(&[("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk")], "{\"messages\":", 400)]
 #[tokio::test]
 async fn malformed_request_is_rejected_without_being_sent(
@@ -101,9 +105,9 @@
     #[case] body: &str,
     #[case] status: u16,
 ) {
-    local(async {
+    run_local(async {
         let world = World::start().await;
-        let answer = ask(world.daemon.address, "POST", "/v1/chat/completions", headers, body).await;
+        let answer = send_request(world.daemon.address, "POST", "/v1/chat/completions", headers, body).await;
         assert_eq!(answer.status, status);
         assert!(answer.json()["error"]["message"].is_string());
         assert_eq!(world.calls(&world.readers), 0);
@@ -118,15 +122,18 @@
 
 #[tokio::test]
 async fn oversized_body_and_unsupported_calls_get_the_right_status() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
         let oversized_body = "x".repeat((256 << 10) + 1);
         let headers = [("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk")];
         let address = world.daemon.address;
-        assert_eq!(ask(address, "POST", "/v1/chat/completions", &headers, &oversized_body).await.status, 413);
-        assert_eq!(ask(address, "GET", "/v1/chat/completions", &[], "").await.status, 405);
+        assert_eq!(
+            send_request(address, "POST", "/v1/chat/completions", &headers, &oversized_body).await.status,
+            413
+        );
+        assert_eq!(send_request(address, "GET", "/v1/chat/completions", &[], "").await.status, 405);
         // The embeddings and rerank front is disabled unless an operator configures it.
-        assert_eq!(ask(address, "POST", "/v1/embeddings", &[], "{}").await.status, 404);
+        assert_eq!(send_request(address, "POST", "/v1/embeddings", &[], "{}").await.status, 404);
         assert_eq!(world.calls(&world.readers), 0);
     })
     .await;
@@ -135,11 +142,11 @@
 // A broken stream that ended with the last chunk would look complete to the client.
 #[tokio::test]
 async fn broken_stream_ends_without_the_last_chunk() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
-        world.set(&world.writers, Mode::Cut);
+        world.set_mode(&world.writers, Mode::Truncates);
         let answer = chat(world.daemon.address, "a1", "lookup", 9000).await;
-        assert_eq!((answer.status, answer.whole, world.calls(&world.writers)), (200, false, 1));
+        assert_eq!((answer.status, answer.complete, world.calls(&world.writers)), (200, false, 1));
     })
     .await;
 }
@@ -148,20 +155,23 @@
 // send.
 #[tokio::test]
 async fn unsafe_request_at_a_silent_writer_fails_in_time_and_is_not_repeated() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
-        world.set(&world.writers, Mode::Silent);
+        world.set_mode(&world.writers, Mode::Silent);
         let start = Instant::now();
         let answer = chat(world.daemon.address, "a1", "correction", 1500).await;
         assert_eq!((answer.status, world.calls(&world.writers)), (504, 1));
-        assert!(start.elapsed() < Duration::from_millis(1500), "the answer came after the client's deadline");
+        assert!(
+            start.elapsed() < Duration::from_millis(1500),
+            "the answer arrived after the client's deadline"
+        );
     })
     .await;
 }
 
 #[tokio::test]
 async fn unsafe_request_that_provably_never_ran_goes_to_another_writer() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
         world.writers[0].mode.set(Mode::Declines);
         for n in 0..6 {
@@ -177,9 +187,9 @@
 // refusal would use up the client's deadline.
 #[tokio::test]
 async fn refusal_has_a_retry_delay() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
-        world.set(&world.readers, Mode::Silent);
+        world.set_mode(&world.readers, Mode::Silent);
         let answer = chat(world.daemon.address, "a1", "lookup", 1200).await;
         assert_eq!(answer.status, 429);
         assert!(answer.head.contains("retry-after: 0."), "{}", answer.head);
@@ -191,12 +201,12 @@
 // engine.
 #[tokio::test]
 async fn state_of_an_abandoned_request_is_released_at_a_running_engine() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
-        world.set(&world.readers, Mode::Silent);
+        world.set_mode(&world.readers, Mode::Silent);
         assert_eq!(chat(world.daemon.address, "a1", "lookup", 900).await.status, 429);
         let release_received = async || world.writers.iter().any(|e| e.count("/state/a1") > 0);
-        until("released", release_received).await;
+        wait_until("a writer has received the release", release_received).await;
     })
     .await;
 }
@@ -205,14 +215,14 @@
 // released.
 #[tokio::test]
 async fn request_of_a_disconnected_client_is_released() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
-        world.set(&world.readers, Mode::Slow(2000));
+        world.set_mode(&world.readers, Mode::Slow(2000));
         let request = chat(world.daemon.address, "a1", "lookup", 15000);
         tokio::time::timeout(Duration::from_millis(300), request)
             .await
             .expect_err("the reader answers only after two seconds");
-        until("released", async || world.releases("a1") > 0).await;
+        wait_until("the state is released", async || world.releases("a1") > 0).await;
         assert_eq!(world.calls(&world.writers), 0);
     })
     .await;
@@ -220,16 +230,16 @@
 
 #[tokio::test]
 async fn draining_engine_gets_no_new_request() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
         assert_eq!(chat(world.daemon.address, "a0", "lookup", 9000).await.status, 200);
-        let drain_revision = world.discovery.set(&world.readers[0], "DRAINING");
+        let drain_revision = world.discovery.set_state(&world.readers[0], "DRAINING");
         for n in 1..40 {
             assert_eq!(chat(world.daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let grace_end = world.discovery.told(drain_revision) + Duration::from_millis(250);
-        assert!(world.readers[0].seen.borrow().iter().all(|seen| seen.at < grace_end));
+        let grace_end = world.discovery.announced_at(drain_revision) + Duration::from_millis(250);
+        assert!(world.readers[0].received.borrow().iter().all(|request| request.received_at < grace_end));
     })
     .await;
 }
@@ -238,10 +248,10 @@
 // run.
 #[tokio::test]
 async fn connection_that_the_engine_closed_is_not_used_again() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
-        world.set(&world.readers, Mode::Closes);
-        world.set(&world.writers, Mode::Closes);
+        world.set_mode(&world.readers, Mode::Closes);
+        world.set_mode(&world.writers, Mode::Closes);
         for n in 0..8 {
             assert_eq!(chat(world.daemon.address, &format!("a{n}"), "correction", 9000).await.status, 200);
         }
@@ -252,14 +262,17 @@
 
 #[tokio::test]
 async fn stopping_gateway_serves_requests_that_still_arrive_and_then_ends() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
-        world.set(&world.readers, Mode::Slow(600));
+        world.set_mode(&world.readers, Mode::Slow(600));
         let address = world.daemon.address;
         let early = tokio::task::spawn_local(async move { chat(address, "a1", "lookup", 9000).await });
-        until("sent", async || world.calls(&world.readers) > 0).await;
+        wait_until("the request has reached a reader", async || world.calls(&world.readers) > 0).await;
         world.daemon.stop.notify_one();
-        until("not ready", async || ask(address, "GET", "/ready", &[], "").await.status == 503).await;
+        wait_until("the daemon is not ready", async || {
+            send_request(address, "GET", "/ready", &[], "").await.status == 503
+        })
+        .await;
         assert_eq!(
             chat(address, "a2", "lookup", 9000).await.status,
             200,
@@ -282,22 +295,23 @@
 #[case::unreachable_reader(true)]
 #[tokio::test]
 async fn release_is_sent_before_the_prompt_is_read_again(#[case] unreachable: bool) {
-    local(async {
+    run_local(async {
         let mut world = World::start().await;
-        world.readers[0].mode.set(Mode::CutOnce);
+        world.readers[0].mode.set(Mode::TruncatesOnce);
         if unreachable {
             world.readers[0].address = closed_port().await;
-            world.discovery.set(&world.readers[0], "SERVING");
+            world.discovery.set_state(&world.readers[0], "SERVING");
         }
         let mut repeated_reads = 0;
         for n in 0..6 {
             let id = format!("a{n}");
             assert_eq!(chat(world.daemon.address, &id, "correction", 9000).await.status, 200);
             let times = |engines: &[Engine], path: &str| {
-                let seen: Vec<_> = engines.iter().flat_map(|e| e.seen.borrow().clone()).collect();
-                let requests = seen.into_iter().filter(|s| s.path.starts_with(path));
-                let requests = requests.filter(|s| s.headers.get("req-id").is_none_or(|sent| *sent == id));
-                let mut times: Vec<_> = requests.map(|s| s.at).collect();
+                let received: Vec<_> = engines.iter().flat_map(|e| e.received.borrow().clone()).collect();
+                let requests = received.into_iter().filter(|request| request.path.starts_with(path));
+                let requests =
+                    requests.filter(|request| request.headers.get("req-id").is_none_or(|sent| *sent == id));
+                let mut times: Vec<_> = requests.map(|request| request.received_at).collect();
                 times.sort();
                 times
             };
@@ -305,7 +319,9 @@
             let state_path = format!("/state/{id}");
             let releases = [times(&world.readers, &state_path), times(&world.writers, &state_path)].concat();
             assert_eq!(releases.len(), reads.len() - 1, "one release for each broken read");
-            assert!(releases.iter().all(|at| at < reads.last().expect("the prompt was read")));
+            assert!(
+                releases.iter().all(|released_at| released_at < reads.last().expect("the prompt was read"))
+            );
             repeated_reads += reads.len() - 1;
         }
         assert_eq!(repeated_reads, usize::from(!unreachable));
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -17,13 +17,13 @@
 
 impl Fixture {
     async fn start() -> Self {
-        Self::within(json!({"memory_mb": 32, "sockets": 128})).await
+        Self::with_limits(json!({"memory_mb": 32, "sockets": 128})).await
     }
 
-    async fn within(limits: serde_json::Value) -> Self {
+    async fn with_limits(limits: serde_json::Value) -> Self {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
-        let daemon = Daemon::within(limits, &discovery, None).await;
+        let daemon = Daemon::with_limits(limits, &discovery, None).await;
         Self { reader, writer, daemon }
     }
 }
@@ -32,11 +32,11 @@
 
 /// Returns a chat request whose body is framed by its length.
 fn request(id: &str) -> String {
-    format!("{HEAD}Req-Id: {id}\r\nContent-Length: {}\r\n\r\n{CHAT}", CHAT.len())
+    format!("{HEAD}Req-Id: {id}\r\nContent-Length: {}\r\n\r\n{CHAT_BODY}", CHAT_BODY.len())
 }
 
-async fn connect(to: SocketAddr) -> TcpStream {
-    TcpStream::connect(to).await.expect("the daemon listens")
+async fn connect(address: SocketAddr) -> TcpStream {
+    TcpStream::connect(address).await.expect("the daemon listens")
 }
 
 /// Returns everything received on a connection until the daemon closes it.
@@ -50,15 +50,15 @@
 // Connections that clients kept open filled the connection table for good, and every new client was refused.
 #[tokio::test]
 async fn idle_connections_are_closed_to_make_room_for_new_ones() {
-    local(async {
+    run_local(async {
         let fixture = Fixture::start().await;
         let mut open_connections = Vec::new();
         for n in 0..150 {
             let mut stream = connect(fixture.daemon.address).await;
             stream.write_all(request(&format!("a{n}")).as_bytes()).await.expect("the request is written");
-            let mut first = [0; 15];
-            stream.read_exact(&mut first).await.expect("a response arrives");
-            assert_eq!(&first, b"HTTP/1.1 200 OK", "request {n}");
+            let mut response_start = [0; 15];
+            stream.read_exact(&mut response_start).await.expect("a response arrives");
+            assert_eq!(&response_start, b"HTTP/1.1 200 OK", "request {n}");
             open_connections.push(stream);
         }
     })
@@ -68,17 +68,17 @@
 // Clients that connect and send nothing must neither keep ordinary clients out nor stay connected.
 #[tokio::test]
 async fn silent_connections_are_closed_and_make_room() {
-    local(async {
+    run_local(async {
         let fixture = Fixture::start().await;
-        let mut silent = Vec::new();
+        let mut silent_connections = Vec::new();
         for _ in 0..90 {
-            silent.push(connect(fixture.daemon.address).await);
+            silent_connections.push(connect(fixture.daemon.address).await);
         }
         tokio::time::sleep(std::time::Duration::from_millis(60)).await;
         for n in 0..8 {
             assert_eq!(chat(fixture.daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
         }
-        for stream in silent {
+        for stream in silent_connections {
             assert_eq!(read_to_close(stream).await, "");
         }
     })
@@ -91,7 +91,7 @@
 #[case::in_its_body("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n{")]
 #[tokio::test]
 async fn request_that_stalls_times_out(#[case] partial_request: &str) {
-    local(async {
+    run_local(async {
         let fixture = Fixture::start().await;
         let mut stream = connect(fixture.daemon.address).await;
         let start = std::time::Instant::now();
@@ -109,7 +109,7 @@
 #[case::chunks_first("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n")]
 #[tokio::test]
 async fn request_hidden_behind_contradicting_lengths_is_not_passed_on(#[case] lengths: &str) {
-    local(async {
+    run_local(async {
         let fixture = Fixture::start().await;
         let mut stream = connect(fixture.daemon.address).await;
         let text = format!("{HEAD}Req-Id: a1\r\n{lengths}\r\n0\r\n\r\n{}", request("hidden"));
@@ -126,10 +126,10 @@
 // not tracked, so nothing after it may be taken for a request.
 #[tokio::test]
 async fn chunked_request_is_served_and_is_the_last_on_its_connection() {
-    local(async {
+    run_local(async {
         let fixture = Fixture::start().await;
         let mut stream = connect(fixture.daemon.address).await;
-        let chunk = format!("{:x}\r\n{CHAT}\r\n0\r\n\r\n", CHAT.len());
+        let chunk = format!("{:x}\r\n{CHAT_BODY}\r\n0\r\n\r\n", CHAT_BODY.len());
         let text = format!("{HEAD}Req-Id: a1\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{}", request("a2"));
         stream.write_all(text.as_bytes()).await.expect("the request is written");
         let answer = read_to_close(stream).await;
@@ -142,7 +142,7 @@
 // Closing a socket with unread bytes resets the connection, and the response would be lost.
 #[tokio::test]
 async fn early_response_reaches_a_client_that_still_sends() {
-    local(async {
+    run_local(async {
         let fixture = Fixture::start().await;
         let mut stream = connect(fixture.daemon.address).await;
         let length = 6 << 20;
@@ -160,32 +160,33 @@
 // Idle clients may take every connection slot while discovery is down: engines, operators and discovery have
 // slots of their own, and later clients get a response or a close.
 #[tokio::test]
-async fn idle_clients_in_every_slot_keep_nobody_waiting_while_discovery_is_down() {
+async fn idle_clients_in_every_slot_keep_no_other_client_waiting_while_discovery_is_down() {
     use std::time::{Duration, Instant};
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let limits = json!({"memory_mb": 32, "sockets": 128});
-        let daemon = Daemon::within(limits, &discovery, None).await;
+        let daemon = Daemon::with_limits(limits, &discovery, None).await;
         discovery.set_down(true);
-        let mut idle = Vec::new();
+        let mut idle_connections = Vec::new();
         for n in 0..120 {
             let mut stream = connect(daemon.address).await;
             if n % 3 == 0 {
                 stream.write_all(&HEAD.as_bytes()[..40]).await.expect("the request is written");
             }
-            idle.push(stream);
+            idle_connections.push(stream);
         }
         for n in 0..6 {
             let start = Instant::now();
             let mut late_client = connect(daemon.address).await;
             // A client without a free slot is closed, perhaps before it has sent anything.
             let _ = late_client.write_all(request(&format!("late{n}")).as_bytes()).await;
-            let mut first = [0; 12];
-            let read = tokio::time::timeout(Duration::from_secs(4), late_client.read(&mut first)).await;
+            let mut response_start = [0; 12];
+            let read =
+                tokio::time::timeout(Duration::from_secs(4), late_client.read(&mut response_start)).await;
             assert!(read.is_ok(), "neither a response nor a close after {:?}", start.elapsed());
         }
-        let metrics = ask(daemon.management, "GET", "/ops/stats", &[], "").await;
+        let metrics = send_request(daemon.management, "GET", "/ops/stats", &[], "").await;
         assert_eq!(metrics.status, 200);
         // At the latest once an idle connection is closed, a new client is served.
         let served = async || {
@@ -193,34 +194,34 @@
             let _ = stream.write_all(request(&format!("b{}", reader.count("/"))).as_bytes()).await;
             first_bytes(stream).await.starts_with("HTTP/1.1 200")
         };
-        until("a client is served", served).await;
+        wait_until("a client is served", served).await;
         discovery.set_down(false);
         let restored_at = Instant::now();
-        let revision = discovery.set(&reader, "DRAINING");
-        until("the drain is announced", async || discovery.has_told(revision)).await;
+        let revision = discovery.set_state(&reader, "DRAINING");
+        wait_until("the drain is announced", async || discovery.has_announced(revision)).await;
         assert!(restored_at.elapsed() < Duration::from_secs(6), "{:?}", restored_at.elapsed());
-        drop(idle);
+        drop(idle_connections);
     })
     .await;
 }
 
 /// Returns the first bytes received on a connection, or nothing if it is closed.
 async fn first_bytes(mut stream: TcpStream) -> String {
-    let mut first = [0; 64];
-    let read = stream.read(&mut first).await.unwrap_or(0);
-    String::from_utf8_lossy(&first[..read]).into_owned()
+    let mut buffer = [0; 64];
+    let length = stream.read(&mut buffer).await.unwrap_or(0);
+    String::from_utf8_lossy(&buffer[..length]).into_owned()
 }
 
 // A connection that was closed while bytes after the request were
 // unread was reset, and a response that was still on its way was lost.
 #[tokio::test]
 async fn connection_closed_with_unread_bytes_is_not_reset() {
-    local(async {
+    run_local(async {
         let fixture = Fixture::start().await;
         fixture.reader.mode.set(Mode::Slow(700));
         let mut stream = connect(fixture.daemon.address).await;
         stream.write_all(request("a1").as_bytes()).await.expect("the request is written");
-        until("the reader has the request", async || fixture.reader.count("/v1/") > 0).await;
+        wait_until("the reader has the request", async || fixture.reader.count("/v1/") > 0).await;
         fixture.daemon.stop.notify_one();
         // More data than is read ahead, which ends between two
         // requests: the rest is unread when the response is sent.
@@ -231,10 +232,10 @@
         let (mut read, mut write) = stream.into_split();
         write.write_all(padded.repeat(400).as_bytes()).await.expect("the kernel accepts the bytes");
         let mut bytes = Vec::new();
-        let end = read.read_to_end(&mut bytes).await;
+        let read_result = read.read_to_end(&mut bytes).await;
         let answer = String::from_utf8_lossy(&bytes);
         assert!(answer.starts_with("HTTP/1.1 200") && answer.contains(EVENTS[2].trim()), "{answer}");
-        assert!(end.is_ok(), "{end:?}");
+        assert!(read_result.is_ok(), "{read_result:?}");
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
         assert!(write.write_all(b"x").await.is_ok(), "the connection was reset");
     })
@@ -242,13 +243,13 @@
 }
 
 // A request may arrive just as its connection is closed. Either it is served completely, or it is refused
-// because it came too late in the shutdown, or its client sees a close without a response and sends it again;
+// because it arrived too late in the shutdown, or its client sees a close without a response and sends it again;
 // in that case no engine may have received it.
 #[tokio::test]
 async fn request_that_crosses_the_close_at_shutdown_is_served_or_reaches_no_engine() {
     use std::time::Duration;
-    local(async {
-        let fixture = Fixture::within(json!({})).await;
+    run_local(async {
+        let fixture = Fixture::with_limits(json!({})).await;
         let mut idle_connections = Vec::new();
         for n in 0..60u64 {
             let mut stream = connect(fixture.daemon.address).await;
@@ -273,10 +274,10 @@
             let (n, written, answer) = task.await.expect("the client task ends");
             let reached_reader = fixture
                 .reader
-                .seen
+                .received
                 .borrow()
                 .iter()
-                .any(|s| s.headers.get("req-id") == Some(&format!("b{n}")));
+                .any(|request| request.headers.get("req-id") == Some(&format!("b{n}")));
             if answer.is_empty() {
                 assert!(!reached_reader, "b{n} was sent to an engine and not answered");
                 closed += 1;
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -16,7 +16,7 @@
 
 /// Starts a discovery server that sends the given responses in turn
 /// and then none; returns its address and the requested paths.
-async fn scripted(answers: &'static [&'static str]) -> (String, Rc<RefCell<Vec<String>>>) {
+async fn scripted_discovery(answers: &'static [&'static str]) -> (String, Rc<RefCell<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("the listener has an address").to_string();
     let paths = Rc::<RefCell<Vec<String>>>::default();
@@ -26,10 +26,10 @@
         while let Ok((mut stream, _)) = listener.accept().await {
             let (answers, requested) = (answers.clone(), requested.clone());
             spawn_local(async move {
-                while let Some(request) = message(&mut stream).await {
+                while let Some(request) = read_message(&mut stream).await {
                     requested.borrow_mut().push(request.path);
-                    let next = answers.borrow_mut().next();
-                    let Some(answer) = next else { std::future::pending().await };
+                    let next_answer = answers.borrow_mut().next();
+                    let Some(answer) = next_answer else { std::future::pending().await };
                     let (status, body) = answer.split_once(' ').expect("a status and a body");
                     // A truncated response never gets its last byte.
                     let (status, sent_part) = match status {
@@ -60,7 +60,7 @@
     )
 }
 
-async fn next(watch: &mut Watch) -> (u64, Vec<String>) {
+async fn next_roster(watch: &mut Watch) -> (u64, Vec<String>) {
     let change = tokio::time::timeout(Duration::from_secs(30), watch.next())
         .await
         .expect("a change within the time limit");
@@ -72,15 +72,15 @@
 
 const ADDS_R2: &str = r#"200 {"rev":5,"all":false,"targets":[{"uid":"r2","endpoint":"e:2","model":"reader","state":"SERVING"}]}"#;
 const OLDER_REVISION: &str = r#"200 {"rev":3,"all":false,"targets":[]}"#;
-const WHOLE_LIST_R3: &str = r#"200 {"rev":3,"all":true,"targets":[{"uid":"r3","endpoint":"e:3","model":"reader","state":"SERVING"}]}"#;
+const FULL_LIST_R3: &str = r#"200 {"rev":3,"all":true,"targets":[{"uid":"r3","endpoint":"e:3","model":"reader","state":"SERVING"}]}"#;
 const REFUSED: &str = "503 {}";
 
-// Seventy gateways that started at once requested whole lists from one service, each as much work as forty of
+// Seventy gateways that started at once requested full lists from one service, each as much work as forty of
 // its lines; with failed calls retried within 50 ms, none was ever answered.
 #[rstest]
 #[case::shared_service_from_the_known_list(true, &[REFUSED, ADDS_R2], &["?index=4&wait=1000", "?index=4&wait=1000"], "r2")]
-#[case::whole_list_after_an_older_revision(true, &[OLDER_REVISION, WHOLE_LIST_R3], &["?index=4&wait=1000", ""], "r3")]
-#[case::whole_list_from_an_agent(false, &[WHOLE_LIST_R3], &[""], "r3")]
+#[case::full_list_after_an_older_revision(true, &[OLDER_REVISION, FULL_LIST_R3], &["?index=4&wait=1000", ""], "r3")]
+#[case::full_list_from_an_agent(false, &[FULL_LIST_R3], &[""], "r3")]
 #[tokio::test]
 async fn first_call_resumes_from_the_known_list_where_possible(
     #[case] shared: bool,
@@ -88,41 +88,41 @@
     #[case] queries: &[&str],
     #[case] listed: &str,
 ) {
-    local(async {
-        let (address, requested_paths) = scripted(answers).await;
+    run_local(async {
+        let (address, requested_paths) = scripted_discovery(answers).await;
         let (mut watch, _address_sender) = watch(&address, shared);
-        assert_eq!(next(&mut watch).await, (4, vec!["r1".to_owned()]));
-        assert_eq!(next(&mut watch).await.1, [listed]);
+        assert_eq!(next_roster(&mut watch).await, (4, vec!["r1".to_owned()]));
+        assert_eq!(next_roster(&mut watch).await.1, [listed]);
         let paths: Vec<_> = queries.iter().map(|query| format!("/v1/endpoints{query}")).collect();
         assert_eq!(requested_paths.borrow()[..paths.len()], paths);
     })
     .await;
 }
 
-// When another address of a shared service was configured, each gateway requested the whole list there, which
+// When another address of a shared service was configured, each gateway requested the full list there, which
 // costs work for each line; the changes since the current list are enough.
 #[rstest]
 #[case::shared_service_from_the_current_list(true, &[ADDS_R6], "?index=5&wait=1000")]
 #[case::shared_service_without_changes_at_first(true, &[NOTHING_NEW, ADDS_R6], "?index=5&wait=1000")]
-#[case::whole_list_from_an_agent(false, &[ADDS_R6], "")]
+#[case::full_list_from_an_agent(false, &[ADDS_R6], "")]
 #[tokio::test]
 async fn first_call_at_a_new_address_resumes_where_possible(
     #[case] shared: bool,
     #[case] answers: &'static [&'static str],
     #[case] query: &str,
 ) {
-    local(async {
-        let (old, _) = scripted(&[ADDS_R2]).await;
-        let (new, requested_paths) = scripted(answers).await;
+    run_local(async {
+        let (old, _) = scripted_discovery(&[ADDS_R2]).await;
+        let (new, requested_paths) = scripted_discovery(answers).await;
         let (mut watch, address_sender) = watch(&old, shared);
-        next(&mut watch).await;
-        assert_eq!(next(&mut watch).await.0, 5);
+        next_roster(&mut watch).await;
+        assert_eq!(next_roster(&mut watch).await.0, 5);
         address_sender.send(new.into()).expect("the watch receives the address");
         if answers.len() > 1 {
             // Nothing has changed, but from now on the new address is followed.
-            assert_eq!(next(&mut watch).await, (5, Vec::new()));
+            assert_eq!(next_roster(&mut watch).await, (5, Vec::new()));
         }
-        assert_eq!(next(&mut watch).await, (6, vec!["r6".to_owned()]));
+        assert_eq!(next_roster(&mut watch).await, (6, vec!["r6".to_owned()]));
         assert_eq!(requested_paths.borrow()[0], format!("/v1/endpoints{query}"));
     })
     .await;
@@ -138,21 +138,21 @@
 #[case::at_an_agent(false)]
 #[tokio::test]
 async fn silent_watch_is_reopened_before_a_missed_change_counts_as_announced(#[case] shared: bool) {
-    local(async {
-        // One response with the whole list or the changes, then silence on that connection.
-        let (address, requested_paths) = scripted(&[ADDS_R6]).await;
+    run_local(async {
+        // One response with the full list or the changes, then silence on that connection.
+        let (address, requested_paths) = scripted_discovery(&[ADDS_R6]).await;
         let (mut watch, _address_sender) = watch(&address, shared);
-        next(&mut watch).await;
-        next(&mut watch).await;
+        next_roster(&mut watch).await;
+        next_roster(&mut watch).await;
         let call_count_is = async |n| requested_paths.borrow().len() == n;
-        until("the watch is renewed", async || call_count_is(2).await).await;
+        wait_until("the watch is renewed", async || call_count_is(2).await).await;
         let renewed_at = Instant::now();
         tokio::select! {
             _ = watch.next() => panic!("the watch reported a change that was not sent"),
-            () = until("the watch is reopened", async || call_count_is(3).await) => {}
+            () = wait_until("the watch is reopened", async || call_count_is(3).await) => {}
         }
-        let after = renewed_at.elapsed();
-        assert!(after <= Duration::from_millis(5_500), "{after:?}");
+        let reopened_after = renewed_at.elapsed();
+        assert!(reopened_after <= Duration::from_millis(5_500), "{reopened_after:?}");
     })
     .await;
 }
@@ -176,30 +176,32 @@
     #[values(true, false)] shared: bool,
     #[values(true, false)] moved: bool,
 ) {
-    local(async {
-        let (address, requested_paths) = scripted(answers).await;
-        let (old, _) = scripted(&[ADDS_R2]).await;
+    run_local(async {
+        let (address, requested_paths) = scripted_discovery(answers).await;
+        let (old, _) = scripted_discovery(&[ADDS_R2]).await;
         let (mut watch, address_sender) = watch(if moved { &old } else { &address }, shared);
-        next(&mut watch).await;
+        next_roster(&mut watch).await;
         if moved {
-            next(&mut watch).await;
+            next_roster(&mut watch).await;
             address_sender.send(address.into()).expect("the watch receives the address");
         }
         // Discovery counts as reachable from the last failing call.
         let reachable_since = Rc::new(RefCell::new(None));
         let (reachable_at, failing_calls) = (reachable_since.clone(), answers.len() - 1);
         spawn_local(async move {
-            until("the last failing call is made", async || requested_paths.borrow().len() >= failing_calls)
-                .await;
+            wait_until("the last failing call is made", async || {
+                requested_paths.borrow().len() >= failing_calls
+            })
+            .await;
             reachable_at.replace(Some(Instant::now()));
         });
         loop {
-            if next(&mut watch).await.0 == 6 {
+            if next_roster(&mut watch).await.0 == 6 {
                 break;
             }
         }
-        let after = reachable_since.borrow().expect("the failing calls were made").elapsed();
-        assert!(after <= Duration::from_millis(5_700), "{after:?}");
+        let received_after = reachable_since.borrow().expect("the failing calls were made").elapsed();
+        assert!(received_after <= Duration::from_millis(5_700), "{received_after:?}");
     })
     .await;
 }
@@ -225,7 +227,7 @@
             let body =
                 if failure == Failure::Malformed { "{\"rev\":\u{1}".to_owned() } else { list.to_string() };
             spawn_local(async move {
-                while message(&mut stream).await.is_some() {
+                while read_message(&mut stream).await.is_some() {
                     match failure {
                         Failure::Silent => std::future::pending().await,
                         Failure::Slow => tokio::time::sleep(Duration::from_millis(1_500)).await,
@@ -249,7 +251,7 @@
     #[values(Failure::Down, Failure::Silent, Failure::Slow, Failure::Malformed)] failure: Failure,
     #[values(true, false)] has_known_list: bool,
 ) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let targets = [&reader, &writer].map(|engine| engine.target("SERVING"));
         let list = serde_json::json!({"rev": 4, "all": true, "targets": targets});
@@ -258,7 +260,7 @@
         let started = Instant::now();
         let daemon = Daemon::with_known_list(known, serde_json::json!({}), discovery, None).await;
         if has_known_list || failure == Failure::Slow {
-            until("the daemon is ready", async || daemon.is_ready().await).await;
+            wait_until("the daemon is ready", async || daemon.is_ready().await).await;
             let max_ms = if has_known_list { 1_000 } else { 4_000 };
             assert!(started.elapsed() < Duration::from_millis(max_ms), "{:?}", started.elapsed());
             assert_eq!(chat(daemon.address, "a1", "lookup", 9000).await.status, 200);
--- a/tests/engines.rs
+++ b/tests/engines.rs
@@ -22,7 +22,7 @@
         let writers = [Engine::start("w1", "writer").await, Engine::start("w2", "writer").await];
         let discovery = Discovery::start(&[&readers[0], &readers[1], &writers[0], &writers[1]]).await;
         let daemon = Daemon::start(&discovery, None).await;
-        writers.iter().for_each(|writer| writer.mode.set(Mode::SaysOnce(response)));
+        writers.iter().for_each(|writer| writer.mode.set(Mode::SendsOnce(response)));
         Self { readers, writers, daemon }
     }
 
@@ -54,7 +54,7 @@
     #[case] response: &'static str,
     #[values(("lookup", 200), ("correction", 502))] class: (&str, u16),
 ) {
-    local(assert_failed_attempt_that_may_have_run(response, class)).await;
+    run_local(assert_failed_attempt_that_may_have_run(response, class)).await;
 }
 
 /// Checks that the response of a decode server is one failed attempt:
@@ -64,7 +64,7 @@
     let answer = chat(fixture.daemon.address, "a1", class, 9000).await;
     assert_eq!(answer.status, status, "{answer:?}");
     if status == 200 {
-        assert_eq!((answer.body, answer.whole), (EVENTS.concat(), true));
+        assert_eq!((answer.body, answer.complete), (EVENTS.concat(), true));
     } else {
         assert_eq!(fixture.run_count(), 1, "the request was sent again though it may have run");
     }
@@ -77,11 +77,11 @@
 #[case::chunk_that_never_fills(stream!("f\r\ndata: {\"a\":1}\n\n\r\nC0000000\r\ndata: "))]
 #[tokio::test]
 async fn stream_malformed_later_ends_without_the_last_chunk(#[case] response: &'static str) {
-    local(async {
+    run_local(async {
         let fixture = Fixture::start(response).await;
         let start = Instant::now();
         let answer = chat(fixture.daemon.address, "a1", "lookup", 9000).await;
-        assert_eq!((answer.status, answer.body.as_str(), answer.whole), (200, EVENTS[0], false));
+        assert_eq!((answer.status, answer.body.as_str(), answer.complete), (200, EVENTS[0], false));
         assert_eq!(fixture.run_count(), 1);
         assert!(start.elapsed() < Duration::from_secs(8));
     })
@@ -102,10 +102,10 @@
     stream!("f\r\ndata: {\"z\":9}\n\n\r\n0\r\n\r\n")))]
 #[tokio::test]
 async fn surplus_data_around_a_response_is_dropped(#[case] response: &'static str) {
-    local(async {
+    run_local(async {
         let fixture = Fixture::start(response).await;
         let answer = chat(fixture.daemon.address, "a1", "correction", 9000).await;
-        assert_eq!((answer.status, answer.body.as_str(), answer.whole), (200, EVENTS[0], true));
+        assert_eq!((answer.status, answer.body.as_str(), answer.complete), (200, EVENTS[0], true));
         for n in 0..6 {
             let answer = chat(fixture.daemon.address, &format!("b{n}"), "lookup", 9000).await;
             assert_eq!(answer.status, 200);
@@ -121,11 +121,11 @@
 // hung until the gateway was killed, and its client waited.
 #[tokio::test]
 async fn hanging_response_is_cut_off_before_a_stopping_gateway_is_killed() {
-    local(async {
+    run_local(async {
         let fixture = Fixture::start(stream!("f\r\ndata: {\"a\":1}\n\n\r\n")).await;
         let address = fixture.daemon.address;
         let client_task = tokio::task::spawn_local(async move { chat(address, "a1", "lookup", 9000).await });
-        until("a writer has the request", async || fixture.run_count() == 1).await;
+        wait_until("a writer has the request", async || fixture.run_count() == 1).await;
         let shutdown_requested = Instant::now();
         fixture.daemon.stop.notify_one();
         let answer = client_task.await.expect("the client task ends");
@@ -135,7 +135,7 @@
             "{:?}",
             shutdown_requested.elapsed()
         );
-        assert!(answer.status == 200 && answer.body.contains("data") && !answer.whole, "{answer:?}");
+        assert!(answer.status == 200 && answer.body.contains("data") && !answer.complete, "{answer:?}");
         assert_eq!(fixture.run_count(), 1, "the request was sent again though it may have run");
         tokio::time::timeout(Duration::from_secs(5), fixture.daemon.ended)
             .await
@@ -147,13 +147,13 @@
 
 // A probe with an unexpected or declining response yields no report and fails nothing but itself.
 #[rstest]
-#[case::reported(Mode::Well, Some(Some(0.25)))]
+#[case::reported(Mode::Healthy, Some(Some(0.25)))]
 #[case::declined(Mode::Declines, None)]
-#[case::no_report(Mode::Short, Some(None))]
-#[case::noise(Mode::SaysOnce("HTTP/9.9 200 OK\r\n\r\n"), None)]
+#[case::no_report(Mode::IncompleteList, Some(None))]
+#[case::noise(Mode::SendsOnce("HTTP/9.9 200 OK\r\n\r\n"), None)]
 #[tokio::test]
 async fn probe_reports_the_memory_share(#[case] mode: Mode, #[case] expected: Option<Option<f64>>) {
-    local(async {
+    run_local(async {
         let writer = Engine::start("w1", "writer").await;
         writer.mode.set(mode);
         let config_json = json!({"listen": "", "discovery": "", "settings": {
@@ -184,5 +184,5 @@
     #[case] response: &'static str,
     #[values(("lookup", 200), ("correction", 502))] class: (&str, u16),
 ) {
-    local(assert_failed_attempt_that_may_have_run(response, class)).await;
+    run_local(assert_failed_attempt_that_may_have_run(response, class)).await;
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -32,21 +32,21 @@
     #[case] limits: Value,
     #[values(false, true)] as_changes: bool,
 ) {
-    local(async move {
+    run_local(async move {
         let (readers, writers) = (Engine::start("r", "reader").await, Engine::start("w", "writer").await);
         let initial_count = if as_changes { 2 } else { ENGINES };
-        let discovery = Discovery::at(1, targets(&readers, &writers, 0..initial_count)).await;
-        let daemon = Daemon::within(limits, &discovery, None).await;
+        let discovery = Discovery::with_revision(1, targets(&readers, &writers, 0..initial_count)).await;
+        let daemon = Daemon::with_limits(limits, &discovery, None).await;
         if as_changes {
-            discovery.change(targets(&readers, &writers, 2..ENGINES / 2));
-            until("delivered the first change", async || discovery.has_told(2)).await;
-            discovery.change(targets(&readers, &writers, ENGINES / 2..ENGINES));
+            discovery.add_as_change(targets(&readers, &writers, 2..ENGINES / 2));
+            wait_until("the first change is announced", async || discovery.has_announced(2)).await;
+            discovery.add_as_change(targets(&readers, &writers, ENGINES / 2..ENGINES));
         }
         let all_listed = async || {
-            let stats = ask(daemon.management, "GET", "/ops/stats", &[], "").await;
+            let stats = send_request(daemon.management, "GET", "/ops/stats", &[], "").await;
             stats.body.lines().any(|line| line.ends_with(&format!(" {ENGINES}")))
         };
-        until("listed all engines", all_listed).await;
+        wait_until("the daemon knows all engines", all_listed).await;
         for number in 0..20 {
             assert_eq!(chat(daemon.address, &format!("a{number}"), "lookup", 9000).await.status, 200);
         }
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -29,7 +29,7 @@
 
 /// Sends a request and ends the connection a while later. Returns the connection if the client ended only the
 /// sending direction.
-async fn ask_and_leave(
+async fn send_and_leave(
     daemon: &Daemon,
     path: &str,
     headers: &str,
@@ -77,13 +77,13 @@
     )]
     disconnect: Disconnect,
 ) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         reader.mode.set(Mode::Slow(600));
         let discovery = Discovery::start(&[&reader, &writer]).await;
-        let daemon = Daemon::within(json!({"memory_mb": 32, "sockets": 128}), &discovery, None).await;
+        let daemon = Daemon::with_limits(json!({"memory_mb": 32, "sockets": 128}), &discovery, None).await;
         let _half_closed =
-            ask_and_leave(&daemon, "/v1/chat/completions", CHAT_HEADERS, CHAT, disconnect).await;
+            send_and_leave(&daemon, "/v1/chat/completions", CHAT_HEADERS, CHAT_BODY, disconnect).await;
         tokio::time::sleep(Duration::from_millis(900)).await;
         assert_eq!((reader.count("/v1/"), writer.count("/v1/")), (1, 0));
     })
@@ -91,7 +91,7 @@
 }
 
 #[rstest]
-#[case::chat("/v1/chat/completions", CHAT_HEADERS, CHAT, "reader")]
+#[case::chat("/v1/chat/completions", CHAT_HEADERS, CHAT_BODY, "reader")]
 #[case::embeddings("/v1/embeddings", "", r#"{"model":"embedder","input":["a"]}"#, "embedder")]
 #[tokio::test]
 async fn no_first_attempt_for_a_client_that_left_while_its_request_waited(
@@ -102,7 +102,7 @@
     #[values(Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset, Disconnect::PipelineAndClose)]
     disconnect: Disconnect,
 ) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let late_engine = Engine::start("late", kind).await;
         // At first chat has a writer but no reader, and the embedding model has no engine at all.
@@ -112,18 +112,18 @@
         let pool = json!({"model": "embedder", "api": "embeddings", "effect": "safe", "aimMs": 4000,
             "deadlineMs": 20000, "maxInputs": 8, "discovery": models.address.to_string()});
         let file = json!({"pools": [pool]});
-        let daemon = Daemon::before_its_list(json!({}), chat.address, Some(file)).await;
-        let _half_closed = ask_and_leave(&daemon, path, headers, body, disconnect).await;
+        let daemon = Daemon::without_list(json!({}), chat.address, Some(file)).await;
+        let _half_closed = send_and_leave(&daemon, path, headers, body, disconnect).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
         let (updated_discovery, watched_discovery) =
             if kind == "reader" { (&chat, &chat) } else { (&models, &models) };
         updated_discovery.add(&late_engine);
-        until("the daemon has received the new list", async || watched_discovery.has_told(2)).await;
+        wait_until("the daemon has received the new list", async || watched_discovery.has_announced(2)).await;
         tokio::time::sleep(Duration::from_millis(400)).await;
         assert_eq!(late_engine.count("/v1/"), 0);
         // A client that stays connected gets an answer from the new engine.
         let headers = [("Req-Id", "c1"), ("Req-Kind", "lookup"), ("Req-Owner", "desk")];
-        assert_eq!(ask(daemon.address, "POST", path, &headers, body).await.status, 200);
+        assert_eq!(send_request(daemon.address, "POST", path, &headers, body).await.status, 200);
         assert_eq!(late_engine.count("/v1/"), 1);
     })
     .await;
@@ -144,12 +144,12 @@
     (bytes.len(), body.len() >= length)
 }
 
-// The operating system had buffered a whole attempt but could not deliver it, since the engine hung. The
+// The operating system had buffered a complete attempt but could not deliver it, since the engine hung. The
 // client left and the attempt was cancelled, but the operating system still delivered it: when the engine
 // read again, it ran the attempt although the client had left.
 #[tokio::test]
 async fn cancelled_attempt_is_not_delivered_later() {
-    local(async {
+    run_local(async {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.set_recv_buffer_size(4 << 10).expect("a small receive buffer is set");
@@ -162,22 +162,22 @@
         reader["uid"] = json!("r1");
         reader["model"] = json!("reader");
         reader["endpoint"] = json!(listener.local_addr().expect("an address").to_string());
-        let discovery = Discovery::at(1, vec![reader, writer.target("SERVING")]).await;
+        let discovery = Discovery::with_revision(1, vec![reader, writer.target("SERVING")]).await;
         let daemon = Daemon::start(&discovery, None).await;
         let resume = Rc::new(Notify::new());
         let engine = spawn_local(hanging_engine(listener, resume.clone()));
         let headers = "Req-Kind: lookup\r\nReq-Owner: desk\r\nReq-Deadline: 9000m\r\n";
-        let body = CHAT.replace("hi", &"x".repeat(40 << 10));
-        ask_and_leave(&daemon, "/v1/chat/completions", headers, &body, Disconnect::Close).await;
-        until("the whole attempt is written", async || {
-            let stats = ask(daemon.management, "GET", "/ops/stats", &[], "").await.body;
+        let body = CHAT_BODY.replace("hi", &"x".repeat(40 << 10));
+        send_and_leave(&daemon, "/v1/chat/completions", headers, &body, Disconnect::Close).await;
+        wait_until("the complete attempt is written", async || {
+            let stats = send_request(daemon.management, "GET", "/ops/stats", &[], "").await.body;
             stats.contains("edge_balancer_upstream_tries 1")
         })
         .await;
         tokio::time::sleep(Duration::from_millis(200)).await;
         resume.notify_one();
         let (received, complete) = engine.await.expect("the engine does not panic");
-        assert!(!complete, "the whole attempt, {received} bytes, was delivered after its client had left");
+        assert!(!complete, "the complete attempt, {received} bytes, was delivered after its client had left");
     })
     .await;
 }
--- a/tests/inference.rs
+++ b/tests/inference.rs
@@ -49,15 +49,15 @@
     json!({"model": "reranker", "query": text, "documents": ["a", "b", "c"]}).to_string()
 }
 
-async fn embed(address: SocketAddr, text: &str) -> Answer {
-    ask(address, "POST", "/v1/embeddings", &[], &embed_body(text)).await
+async fn embed(address: SocketAddr, text: &str) -> ClientResponse {
+    send_request(address, "POST", "/v1/embeddings", &[], &embed_body(text)).await
 }
 
-async fn rerank(address: SocketAddr, text: &str, headers: &[(&str, &str)]) -> Answer {
-    ask(address, "POST", "/v1/rerank", headers, &rerank_body(text)).await
+async fn rerank(address: SocketAddr, text: &str, headers: &[(&str, &str)]) -> ClientResponse {
+    send_request(address, "POST", "/v1/rerank", headers, &rerank_body(text)).await
 }
 
-fn entries(answer: &Answer, list: &str) -> usize {
+fn entries(answer: &ClientResponse, list: &str) -> usize {
     answer.json()[list].as_array().map_or(0, Vec::len)
 }
 
@@ -66,7 +66,7 @@
 // announcement.
 #[tokio::test]
 async fn mixed_traffic_through_a_drain_loses_and_repeats_no_request() {
-    local(async {
+    run_local(async {
         let world = World::start("unsafe", 20_000).await;
         let second_reader = Engine::start("r2", "reader").await;
         let second_writer = Engine::start("w2", "writer").await;
@@ -99,36 +99,39 @@
                 }
             }));
         }
-        until("at 18 answers", async || answers.borrow().len() > 18).await;
+        wait_until("more than 18 answers have arrived", async || answers.borrow().len() > 18).await;
         let draining_engines = [&world.reader, &world.writer, &world.embedders[0], &world.rerankers[0]];
-        let revisions = draining_engines.map(|engine| world.discovery.set(engine, "DRAINING"));
+        let revisions = draining_engines.map(|engine| world.discovery.set_state(engine, "DRAINING"));
         for client in clients {
             client.await.expect("the client task completes");
         }
         assert_eq!(answers.borrow().len(), 9 * 12);
         for (list, answer) in answers.borrow().iter() {
             let complete = match *list {
-                "" => answer.body == EVENTS.concat() && answer.whole,
+                "" => answer.body == EVENTS.concat() && answer.complete,
                 "data" => entries(answer, list) == 2,
                 _ => entries(answer, list) == 3,
             };
             assert!(answer.status == 200 && complete, "{answer:?}");
         }
         for (engine, revision) in draining_engines.iter().zip(revisions) {
-            let informed_at = world.discovery.told(revision);
-            let seen = engine.seen.borrow();
-            let calls: Vec<_> = seen.iter().filter(|s| s.method == "POST").collect();
+            let announced_at = world.discovery.announced_at(revision);
+            let received = engine.received.borrow();
+            let calls: Vec<_> = received.iter().filter(|request| request.method == "POST").collect();
             assert!(
                 !calls.is_empty()
-                    && calls.iter().all(|call| call.at < informed_at + Duration::from_millis(250))
+                    && calls.iter().all(|call| call.received_at < announced_at + Duration::from_millis(250))
             );
         }
         // Requests that must not be repeated ran once: each rerank call, and each chat request at the
         // writers.
         let mut runs = BTreeSet::new();
         for engine in [&world.rerankers[0], &world.rerankers[1], &world.writer, &second_writer] {
-            for seen in engine.seen.borrow().iter().filter(|s| s.method == "POST") {
-                assert!(runs.insert((seen.headers["req-id"].clone(), seen.path.clone())), "{seen:?}");
+            for request in engine.received.borrow().iter().filter(|request| request.method == "POST") {
+                assert!(
+                    runs.insert((request.headers["req-id"].clone(), request.path.clone())),
+                    "{request:?}"
+                );
             }
         }
         assert_eq!(runs.len(), 6 * 12);
@@ -147,10 +150,10 @@
     #[case] status: u16,
     #[case] runs: usize,
 ) {
-    local(async {
+    run_local(async {
         let world = World::start(effect, 20_000).await;
         // Each engine cuts off its first answer, so that the first two runs break on any engine.
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::CutOnce));
+        world.rerankers.iter().for_each(|e| e.mode.set(Mode::TruncatesOnce));
         let answer = rerank(world.daemon.address, "q", &[]).await;
         assert_eq!((answer.status, world.rerank_calls()), (status, runs));
         assert!(status != 200 || entries(&answer, "results") == 3);
@@ -163,9 +166,9 @@
 // entries.
 #[tokio::test]
 async fn answer_with_missing_entries_counts_as_failed() {
-    local(async {
+    run_local(async {
         let world = World::start("unsafe", 20_000).await;
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::Short));
+        world.rerankers.iter().for_each(|e| e.mode.set(Mode::IncompleteList));
         assert_eq!((rerank(world.daemon.address, "q", &[]).await.status, world.rerank_calls()), (502, 1));
     })
     .await;
@@ -175,12 +178,12 @@
 // The retry must not run the call a second time.
 #[tokio::test]
 async fn retry_with_the_same_key_joins_the_running_call() {
-    local(async {
+    run_local(async {
         let world = World::start("unsafe", 20_000).await;
         world.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(400)));
         let (address, key) = (world.daemon.address, [("Idempotency-Key", "k1")]);
-        let first = tokio::time::timeout(Duration::from_millis(150), rerank(address, "q", &key)).await;
-        first.expect_err("the first client gave up before the answer");
+        let abandoned = tokio::time::timeout(Duration::from_millis(150), rerank(address, "q", &key)).await;
+        abandoned.expect_err("the first client gave up before the answer");
         let (second, third) = tokio::join!(rerank(address, "q", &key), rerank(address, "q", &key));
         for answer in [second, third, rerank(address, "q", &key).await] {
             assert_eq!((answer.status, entries(&answer, "results")), (200, 3));
@@ -207,9 +210,9 @@
     #[case] body: Value,
     #[case] status: u16,
 ) {
-    local(async {
+    run_local(async {
         let world = World::start("safe", 20_000).await;
-        let answer = ask(world.daemon.address, "POST", path, &[], &body.to_string()).await;
+        let answer = send_request(world.daemon.address, "POST", path, &[], &body.to_string()).await;
         assert_eq!(answer.status, status);
         assert!(answer.json()["error"]["type"] == "invalid_request_error");
         let calls: usize = world.embedders.iter().chain(&world.rerankers).map(|e| e.count("/v1/")).sum();
@@ -229,7 +232,7 @@
     #[case] mode: Mode,
     #[case] status: u16,
 ) {
-    local(async {
+    run_local(async {
         let world = World::start(effect, 1000).await;
         world.rerankers.iter().for_each(|e| e.mode.set(mode));
         let start = Instant::now();
@@ -245,9 +248,9 @@
 // would become so short that every slow call was overdue.
 #[tokio::test]
 async fn rejected_calls_do_not_shorten_the_estimate_for_other_calls() {
-    local(async {
+    run_local(async {
         let world = World::start("safe", 20_000).await;
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::Faults));
+        world.rerankers.iter().for_each(|e| e.mode.set(Mode::RejectsAsInvalid));
         for _ in 0..12 {
             assert_eq!(rerank(world.daemon.address, "q", &[]).await.status, 400);
         }
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -22,31 +22,31 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
     /// Responds normally.
-    Well,
+    Healthy,
     /// Responds normally after the given number of milliseconds.
     Slow(u64),
     /// Never responds, like a machine that has vanished.
     Silent,
     /// Breaks the connection in the middle of its response.
-    Cut,
+    Truncates,
     /// Breaks the connection once, then responds normally.
-    CutOnce,
+    TruncatesOnce,
     /// Declines the request with proof that it never ran.
     Declines,
     /// Responds, then closes the connection.
     Closes,
     /// Rejects every request as invalid.
-    Faults,
+    RejectsAsInvalid,
     /// Responds with a list that lacks entries.
-    Short,
+    IncompleteList,
     /// Sends these bytes once and keeps the connection open, then responds normally.
-    SaysOnce(&'static str),
+    SendsOnce(&'static str),
 }
 
 /// A request as the engine received it.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    pub at: Instant,
+pub struct ReceivedRequest {
+    pub received_at: Instant,
     pub method: String,
     pub path: String,
     pub headers: BTreeMap<String, String>,
@@ -54,7 +54,7 @@
 }
 
 /// Reads one message from a connection: the words of its first line, its headers and its body.
-pub async fn message(stream: &mut (impl AsyncRead + Unpin)) -> Option<Seen> {
+pub async fn read_message(stream: &mut (impl AsyncRead + Unpin)) -> Option<ReceivedRequest> {
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\n") {
         text.push(stream.read_u8().await.ok()?);
@@ -69,7 +69,13 @@
     let length = headers.get("content-length").map_or(0, |l| l.parse().expect("a valid length"));
     let mut body = vec![0; length];
     stream.read_exact(&mut body).await.ok()?;
-    Some(Seen { at: Instant::now(), method: words.next()?, path: words.next()?, headers, body })
+    Some(ReceivedRequest {
+        received_at: Instant::now(),
+        method: words.next()?,
+        path: words.next()?,
+        headers,
+        body,
+    })
 }
 
 /// An engine; its role depends on the calls that it receives.
@@ -78,22 +84,30 @@
     pub model: &'static str,
     pub address: SocketAddr,
     pub mode: Rc<Cell<Mode>>,
-    /// True if it accepts releases without ever responding to them.
-    pub mute_to_releases: Rc<Cell<bool>>,
-    pub seen: Rc<RefCell<Vec<Seen>>>,
+    /// True if the engine accepts releases without ever responding to them.
+    pub ignores_releases: Rc<Cell<bool>>,
+    pub received: Rc<RefCell<Vec<ReceivedRequest>>>,
 }
 
 impl Engine {
     pub async fn start(uid: &'static str, model: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let address = listener.local_addr().expect("the listener has an address");
-        let (mode, seen) = (Rc::new(Cell::new(Mode::Well)), Rc::<RefCell<Vec<Seen>>>::default());
-        let mute_to_releases = Rc::<Cell<bool>>::default();
-        let mute = mute_to_releases.clone();
-        let engine = Self { uid, model, address, mode: mode.clone(), mute_to_releases, seen: seen.clone() };
+        let (mode, received) =
+            (Rc::new(Cell::new(Mode::Healthy)), Rc::<RefCell<Vec<ReceivedRequest>>>::default());
+        let ignores_releases = Rc::<Cell<bool>>::default();
+        let ignores_connection_releases = ignores_releases.clone();
+        let engine =
+            Self { uid, model, address, mode: mode.clone(), ignores_releases, received: received.clone() };
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(engine_connection(stream, model, mode.clone(), mute.clone(), seen.clone()));
+                spawn_local(engine_connection(
+                    stream,
+                    model,
+                    mode.clone(),
+                    ignores_connection_releases.clone(),
+                    received.clone(),
+                ));
             }
         });
         engine
@@ -101,7 +115,7 @@
 
     /// Returns the number of received requests whose path starts with the given text.
     pub fn count(&self, path: &str) -> usize {
-        self.seen.borrow().iter().filter(|s| s.path.starts_with(path)).count()
+        self.received.borrow().iter().filter(|request| request.path.starts_with(path)).count()
     }
 
     pub fn target(&self, state: &str) -> Value {
@@ -114,45 +128,46 @@
     mut stream: TcpStream,
     model: &'static str,
     mode: Rc<Cell<Mode>>,
-    mute_to_releases: Rc<Cell<bool>>,
-    seen: Rc<RefCell<Vec<Seen>>>,
+    ignores_releases: Rc<Cell<bool>>,
+    received: Rc<RefCell<Vec<ReceivedRequest>>>,
 ) {
-    while let Some(request) = message(&mut stream).await {
-        seen.borrow_mut().push(request.clone());
-        if request.method == "DELETE" && mute_to_releases.get() {
+    while let Some(request) = read_message(&mut stream).await {
+        received.borrow_mut().push(request.clone());
+        if request.method == "DELETE" && ignores_releases.get() {
             return std::future::pending().await;
         }
-        let once = matches!(mode.get(), Mode::CutOnce | Mode::SaysOnce(_)) && request.method != "DELETE";
-        let mode = if once { mode.replace(Mode::Well) } else { mode.get() };
+        let applies_once =
+            matches!(mode.get(), Mode::TruncatesOnce | Mode::SendsOnce(_)) && request.method != "DELETE";
+        let mode = if applies_once { mode.replace(Mode::Healthy) } else { mode.get() };
         if let Mode::Slow(ms) = mode {
             tokio::time::sleep(Duration::from_millis(ms)).await;
         }
-        let answer = match mode {
-            Mode::SaysOnce(bytes) => bytes.to_owned(),
+        let response = match mode {
+            Mode::SendsOnce(bytes) => bytes.to_owned(),
             Mode::Silent => return std::future::pending().await,
             Mode::Declines => "HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n".to_owned(),
-            Mode::Faults => "HTTP/1.1 400 Bad\r\nContent-Length: 2\r\n\r\n{}".to_owned(),
-            Mode::Short => {
+            Mode::RejectsAsInvalid => "HTTP/1.1 400 Bad\r\nContent-Length: 2\r\n\r\n{}".to_owned(),
+            Mode::IncompleteList => {
                 let body = "{\"results\":[{\"index\":0}]}";
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
             }
-            _ => engine_answer(model, &request),
+            _ => engine_response(model, &request),
         };
-        let cut = matches!(mode, Mode::Cut | Mode::CutOnce) && request.method == "POST";
-        let sent_part = if cut { &answer[..answer.len() - 12] } else { &answer };
+        let truncates = matches!(mode, Mode::Truncates | Mode::TruncatesOnce) && request.method == "POST";
+        let sent_part = if truncates { &response[..response.len() - 12] } else { &response };
         let written = stream.write_all(sent_part.as_bytes()).await;
-        if cut || mode == Mode::Closes || written.is_err() {
+        if truncates || mode == Mode::Closes || written.is_err() {
             return;
         }
     }
 }
 
-fn engine_answer(model: &str, request: &Seen) -> String {
+fn engine_response(model: &str, request: &ReceivedRequest) -> String {
     let complete_response = |status: &str, body: String| {
         format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
     };
-    let call: Value = serde_json::from_slice(&request.body).unwrap_or_default();
-    let entry_count = |list: &str| call[list].as_array().map_or(1, Vec::len);
+    let request_json: Value = serde_json::from_slice(&request.body).unwrap_or_default();
+    let entry_count = |list: &str| request_json[list].as_array().map_or(1, Vec::len);
     match (request.method.as_str(), model) {
         ("GET", _) if request.path == "/status/load" => {
             complete_response("200 OK", json!({"x0": 0.25}).to_string())
@@ -160,7 +175,8 @@
         ("DELETE", _) => "HTTP/1.1 204 No Content\r\n\r\n".to_owned(),
         (_, "reader") => complete_response("202 Accepted", "{\"cached_tokens\":0}".into()),
         (_, "writer") => {
-            let chunks: String = EVENTS.iter().map(|e| format!("{:x}\r\n{e}\r\n", e.len())).collect();
+            let chunks: String =
+                EVENTS.iter().map(|event| format!("{:x}\r\n{event}\r\n", event.len())).collect();
             format!(
                 "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}0\r\n\r\n"
             )
@@ -194,11 +210,11 @@
 
 impl Discovery {
     pub async fn start(engines: &[&Engine]) -> Self {
-        Self::at(1, engines.iter().map(|e| e.target("SERVING")).collect()).await
+        Self::with_revision(1, engines.iter().map(|engine| engine.target("SERVING")).collect()).await
     }
 
     /// Starts a server with a list of the given revision.
-    pub async fn at(revision: u64, targets: Vec<Value>) -> Self {
+    pub async fn with_revision(revision: u64, targets: Vec<Value>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let address = listener.local_addr().expect("the listener has an address");
         let discovery = Self {
@@ -218,33 +234,33 @@
         discovery
     }
 
-    /// Lists an engine in another state; returns the revision in which it is listed so.
-    pub fn set(&self, engine: &Engine, state: &str) -> u64 {
-        let (rev, targets) = &mut *self.list.borrow_mut();
-        *rev += 1;
+    /// Lists an engine in another state; returns the revision that contains the new state.
+    pub fn set_state(&self, engine: &Engine, state: &str) -> u64 {
+        let (revision, targets) = &mut *self.list.borrow_mut();
+        *revision += 1;
         for target in targets.iter_mut().filter(|t| t["uid"] == engine.uid) {
             *target = engine.target(state);
         }
         self.list_changed.notify_waiters();
-        *rev
+        *revision
     }
 
-    /// Returns the time at which the revision, or a later one, was
-    /// first written to a watch: from then on it counts as announced.
-    pub fn told(&self, revision: u64) -> Instant {
+    /// Returns the time at which the revision, or a later one, was first written to a watch. From this time on
+    /// the revision counts as announced.
+    pub fn announced_at(&self, revision: u64) -> Instant {
         let written_revisions = self.written_revisions.borrow();
         written_revisions.iter().find(|(rev, _)| *rev >= revision).expect("the revision was written").1
     }
 
     /// Returns true if the revision, or a later one, was written to a watch.
-    pub fn has_told(&self, revision: u64) -> bool {
+    pub fn has_announced(&self, revision: u64) -> bool {
         self.written_revisions.borrow().iter().any(|(rev, _)| *rev >= revision)
     }
 
-    /// Lists further engines, and sends that as a change.
-    pub fn change(&self, targets: Vec<Value>) {
-        let (rev, listed) = &mut *self.list.borrow_mut();
-        *rev += 1;
+    /// Lists further engines, and sends the next revision as a change instead of a full list.
+    pub fn add_as_change(&self, targets: Vec<Value>) {
+        let (revision, listed) = &mut *self.list.borrow_mut();
+        *revision += 1;
         listed.extend(targets.clone());
         self.changed_targets.replace(targets);
         self.list_changed.notify_waiters();
@@ -252,8 +268,8 @@
 
     /// Lists one more engine.
     pub fn add(&self, engine: &Engine) {
-        let (rev, targets) = &mut *self.list.borrow_mut();
-        *rev += 1;
+        let (revision, targets) = &mut *self.list.borrow_mut();
+        *revision += 1;
         targets.push(engine.target("SERVING"));
         self.list_changed.notify_waiters();
     }
@@ -265,71 +281,78 @@
     }
 
     async fn connection(self, mut stream: TcpStream) {
-        while let Some(request) = message(&mut stream).await {
+        while let Some(request) = read_message(&mut stream).await {
             if self.is_down.get() {
                 return;
             }
-            let index = request.path.split_once("index=").and_then(|(_, rest)| rest.split('&').next());
-            let index: u64 = index.map_or(0, |i| i.parse().expect("a valid revision"));
+            let index_text = request.path.split_once("index=").and_then(|(_, rest)| rest.split('&').next());
+            let index: u64 = index_text.map_or(0, |text| text.parse().expect("a valid revision"));
             while self.list.borrow().0 <= index {
                 self.list_changed.notified().await;
                 if self.is_down.get() {
                     return;
                 }
             }
-            let (rev, targets) = self.list.borrow().clone();
+            let (revision, targets) = self.list.borrow().clone();
             let changed_targets = self.changed_targets.borrow().clone();
-            let all = changed_targets.is_empty() || index + 1 != rev;
+            let is_full = changed_targets.is_empty() || index + 1 != revision;
             let body =
-                json!({"rev": rev, "all": all, "targets": if all { targets } else { changed_targets }})
+                json!({"rev": revision, "all": is_full, "targets": if is_full { targets } else { changed_targets }})
                     .to_string();
-            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-            if stream.write_all(answer.as_bytes()).await.is_err() {
+            let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            if stream.write_all(response.as_bytes()).await.is_err() {
                 return;
             }
-            self.written_revisions.borrow_mut().push((rev, Instant::now()));
+            self.written_revisions.borrow_mut().push((revision, Instant::now()));
         }
     }
 }
 
-/// The response that a client received; `whole` is true if it is complete according to its framing.
+/// A response as the client received it.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ClientResponse {
     pub status: u16,
     pub head: String,
     pub body: String,
-    pub whole: bool,
+    /// True if the response is complete according to its framing.
+    pub complete: bool,
 }
 
-impl Answer {
+impl ClientResponse {
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).expect("a JSON body")
     }
 }
 
 /// Sends one request on a connection of its own and reads the response.
-pub async fn ask(to: SocketAddr, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
-    let mut stream = TcpStream::connect(to).await.expect("the daemon listens");
-    let mut text = format!("{method} {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n");
-    headers.iter().for_each(|(name, value)| text += &format!("{name}: {value}\r\n"));
-    text += &format!("Content-Length: {}\r\n\r\n{body}", body.len());
+pub async fn send_request(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    headers: &[(&str, &str)],
+    body: &str,
+) -> ClientResponse {
+    let mut stream = TcpStream::connect(address).await.expect("the daemon listens");
+    let mut request_text = format!("{method} {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n");
+    headers.iter().for_each(|(name, value)| request_text += &format!("{name}: {value}\r\n"));
+    request_text += &format!("Content-Length: {}\r\n\r\n{body}", body.len());
     // The daemon may refuse a request early without reading its body to the end.
-    let _ = stream.write_all(text.as_bytes()).await;
+    let _ = stream.write_all(request_text.as_bytes()).await;
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes).await;
-    let text = String::from_utf8(bytes).expect("valid UTF-8");
-    let (head, rest) = text.split_once("\r\n\r\n").expect("a complete head");
+    let response_text = String::from_utf8(bytes).expect("valid UTF-8");
+    let (head, rest) = response_text.split_once("\r\n\r\n").expect("a complete head");
     let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a valid status");
     let (mut body, mut complete) = (rest.to_owned(), true);
     if head.to_ascii_lowercase().contains("transfer-encoding: chunked") {
         complete = rest.ends_with("0\r\n\r\n");
-        body = rest.split("\r\n").filter(|l| l.starts_with("data") || l.is_empty()).collect();
+        body = rest.split("\r\n").filter(|line| line.starts_with("data") || line.is_empty()).collect();
     }
-    Answer { status, head: head.to_ascii_lowercase(), body, whole: complete }
+    ClientResponse { status, head: head.to_ascii_lowercase(), body, complete }
 }
 
 /// Sends a chat request of the given class with a deadline in milliseconds.
-pub async fn chat(to: SocketAddr, id: &str, class: &str, deadline_ms: u64) -> Answer {
+pub async fn chat(address: SocketAddr, id: &str, class: &str, deadline_ms: u64) -> ClientResponse {
     let deadline = format!("{deadline_ms}m");
     let headers = [
         ("Req-Id", id),
@@ -338,19 +361,19 @@
         ("Req-Deadline", deadline.as_str()),
         ("Req-Extra", "prompt_len=100,max_out=20"),
     ];
-    ask(to, "POST", "/v1/chat/completions", &headers, CHAT).await
+    send_request(address, "POST", "/v1/chat/completions", &headers, CHAT_BODY).await
 }
 
 /// Returns the bytes of a chat request as a client sends them.
 pub fn chat_text(id: &str, class: &str) -> String {
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\nReq-Owner: desk\r\n\
-         Req-Deadline: 9000m\r\nContent-Length: {}\r\n\r\n{CHAT}",
-        CHAT.len()
+         Req-Deadline: 9000m\r\nContent-Length: {}\r\n\r\n{CHAT_BODY}",
+        CHAT_BODY.len()
     )
 }
 
-pub const CHAT: &str = r#"{"model":"chat","stream":true,"messages":[{"role":"user","content":"hi"}]}"#;
+pub const CHAT_BODY: &str = r#"{"model":"chat","stream":true,"messages":[{"role":"user","content":"hi"}]}"#;
 
 /// A running daemon.
 pub struct Daemon {
@@ -365,23 +388,23 @@
 
 impl Daemon {
     pub async fn start(discovery: &Discovery, inference: Option<Value>) -> Self {
-        Self::within(json!({}), discovery, inference).await
+        Self::with_limits(json!({}), discovery, inference).await
     }
 
     /// Starts a daemon with the given resource limits and waits until it is ready.
-    pub async fn within(limits: Value, discovery: &Discovery, inference: Option<Value>) -> Self {
-        let daemon = Self::before_its_list(limits, discovery.address, inference).await;
-        until("ready", async || daemon.is_ready().await).await;
+    pub async fn with_limits(limits: Value, discovery: &Discovery, inference: Option<Value>) -> Self {
+        let daemon = Self::without_list(limits, discovery.address, inference).await;
+        wait_until("the daemon is ready", async || daemon.is_ready().await).await;
         daemon
     }
 
     /// Returns true if the daemon accepts clients.
     pub async fn is_ready(&self) -> bool {
-        ask(self.address, "GET", "/ready", &[], "").await.status == 200
+        send_request(self.address, "GET", "/ready", &[], "").await.status == 200
     }
 
     /// Starts a daemon without waiting until it knows an engine.
-    pub async fn before_its_list(limits: Value, discovery: SocketAddr, inference: Option<Value>) -> Self {
+    pub async fn without_list(limits: Value, discovery: SocketAddr, inference: Option<Value>) -> Self {
         Self::with_known_list(Value::Null, limits, discovery, inference).await
     }
 
@@ -392,7 +415,7 @@
         discovery: SocketAddr,
         inference: Option<Value>,
     ) -> Self {
-        Self::configured(Self::settings(), known, limits, discovery, inference).await
+        Self::with_settings(Self::settings(), known, limits, discovery, inference).await
     }
 
     /// The default settings of a daemon.
@@ -408,7 +431,7 @@
     }
 
     /// Starts a daemon with the given settings.
-    pub async fn configured(
+    pub async fn with_settings(
         settings: Value,
         known: Value,
         limits: Value,
@@ -444,37 +467,37 @@
     }
 
     /// Makes the daemon reload a configuration with another discovery address.
-    pub async fn move_discovery(&self, to: SocketAddr) {
+    pub async fn move_discovery(&self, address: SocketAddr) {
         let mut config = self.config.clone();
-        config["discovery"] = json!(to.to_string());
-        self.reread(&config.to_string()).await;
+        config["discovery"] = json!(address.to_string());
+        self.reload(&config.to_string()).await;
     }
 
     /// Makes the daemon reload a configuration with other settings.
     pub async fn change_settings(&self, settings: Value) {
         let mut config = self.config.clone();
         config["settings"] = settings;
-        self.reread(&config.to_string()).await;
+        self.reload(&config.to_string()).await;
     }
 
     /// Makes the daemon reload its configuration from the given text.
-    pub async fn reread(&self, text: &str) {
+    pub async fn reload(&self, text: &str) {
         std::fs::write(self.file.path(), text).expect("the file is writable");
         self.reload_sender.send(()).await.expect("the daemon accepts the reload");
     }
 }
 
-/// Waits until a condition holds; the time limit allows for a slow machine.
-pub async fn until(condition: &str, mut holds: impl AsyncFnMut() -> bool) {
+/// Waits until a condition holds. The time limit allows for a slow machine.
+pub async fn wait_until(condition: &str, mut holds: impl AsyncFnMut() -> bool) {
     let start = Instant::now();
     while !holds().await {
-        assert!(start.elapsed() < Duration::from_secs(20), "condition not met in time: {condition}");
+        assert!(start.elapsed() < Duration::from_secs(20), "timed out waiting until {condition}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
 /// Runs the tasks of a test on this thread.
-pub async fn local(test: impl Future<Output = ()>) {
+pub async fn run_local(test: impl Future<Output = ()>) {
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
--- a/tests/management.rs
+++ b/tests/management.rs
@@ -24,8 +24,8 @@
         Self { readers, writer, discovery, daemon }
     }
 
-    async fn operator_call(&self, method: &str, path: &str) -> Answer {
-        ask(self.daemon.management, method, path, &[], "").await
+    async fn operator_call(&self, method: &str, path: &str) -> ClientResponse {
+        send_request(self.daemon.management, method, path, &[], "").await
     }
 
     async fn metric(&self, name: &str) -> u64 {
@@ -45,7 +45,7 @@
 // discovery must not put the engine back into use.
 #[tokio::test]
 async fn withheld_engine_gets_no_request_until_it_is_put_back() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
         world.serve((0..8).map(|n| format!("a{n}"))).await;
         assert!(world.readers[0].count("/v1/") > 0);
@@ -57,14 +57,16 @@
         );
         let before = world.readers[0].count("/v1/");
         world.serve((0..8).map(|n| format!("b{n}"))).await;
-        world.discovery.set(&world.readers[0], "DRAINING");
-        world.discovery.set(&world.readers[0], "SERVING");
-        until("skipped by the gateway", async || world.metric("edge_balancer_skipped_engines").await == 1)
-            .await;
+        world.discovery.set_state(&world.readers[0], "DRAINING");
+        world.discovery.set_state(&world.readers[0], "SERVING");
+        wait_until("the gateway skips the engine", async || {
+            world.metric("edge_balancer_skipped_engines").await == 1
+        })
+        .await;
         world.serve((0..8).map(|n| format!("c{n}"))).await;
         assert_eq!(world.readers[0].count("/v1/"), before);
         assert_eq!(world.operator_call("POST", "/ops/engines/up?host=r1").await.status, 200);
-        until("used again", async || {
+        wait_until("the engine is used again", async || {
             let id = format!("d{}", world.readers[1].count("/v1/"));
             world.serve(std::iter::once(id)).await;
             world.readers[0].count("/v1/") > before
@@ -89,9 +91,9 @@
 // clients sent requests on them.
 #[tokio::test]
 async fn drained_gateway_is_not_ready_and_closes_connections_until_the_drain_ends() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
-        let ready = async || ask(world.daemon.address, "GET", "/ready", &[], "").await.status;
+        let ready = async || send_request(world.daemon.address, "GET", "/ready", &[], "").await.status;
         let mut idle = keep_alive_connection(world.daemon.address).await;
         assert_eq!(world.operator_call("POST", "/ops/drain/start").await.status, 200);
         assert_eq!(ready().await, 503);
@@ -122,17 +124,20 @@
 // Operators monitor the gateway by its metrics: each request must be counted under one outcome of its class.
 #[tokio::test]
 async fn metrics_count_requests_by_class_and_outcome() {
-    local(async {
+    run_local(async {
         let world = World::start().await;
         world.serve((0..3).map(|n| format!("a{n}"))).await;
-        world.writer.mode.set(Mode::CutOnce);
-        assert!(!chat(world.daemon.address, "b", "correction", 9000).await.whole);
+        world.writer.mode.set(Mode::TruncatesOnce);
+        assert!(!chat(world.daemon.address, "b", "correction", 9000).await.complete);
         let handled = async |class: &str, outcome: &str| {
             world
                 .metric(&format!("edge_balancer_handled{{category=\"{class}\",outcome=\"{outcome}\"}}"))
                 .await
         };
-        until("counted as failed", async || handled("correction", "bad_gateway").await == 1).await;
+        wait_until("the request is counted as failed", async || {
+            handled("correction", "bad_gateway").await == 1
+        })
+        .await;
         assert_eq!(handled("lookup", "passed").await, 3);
         assert_eq!(handled("lookup", "dropped").await, 0);
         assert_eq!(
@@ -145,7 +150,10 @@
         world.readers.iter().for_each(|reader| reader.mode.set(Mode::Silent));
         let address = world.daemon.address;
         tokio::task::spawn_local(async move { chat(address, "c", "lookup", 9000).await });
-        until("counted as in progress", async || world.metric("edge_balancer_in_progress").await == 1).await;
+        wait_until("the request is counted as in progress", async || {
+            world.metric("edge_balancer_in_progress").await == 1
+        })
+        .await;
     })
     .await;
 }
@@ -158,7 +166,7 @@
 #[case::all_callers_in_a_request_for_long(1, 700)]
 #[tokio::test]
 async fn silent_callers_do_not_block_operators(#[case] partial_request_every: usize, #[case] after_ms: u64) {
-    local(async {
+    run_local(async {
         let world = World::start().await;
         let mut silent_callers = Vec::new();
         for n in 0..40 {
--- a/tests/no_reports.rs
+++ b/tests/no_reports.rs
@@ -24,9 +24,9 @@
 }
 
 async fn start_daemon(targets: Vec<Value>) -> Daemon {
-    let discovery = Discovery::at(1, targets).await;
-    let daemon = Daemon::configured(settings(), json!(null), json!({}), discovery.address, None).await;
-    until("ready", async || daemon.is_ready().await).await;
+    let discovery = Discovery::with_revision(1, targets).await;
+    let daemon = Daemon::with_settings(settings(), json!(null), json!({}), discovery.address, None).await;
+    wait_until("the daemon is ready", async || daemon.is_ready().await).await;
     daemon
 }
 
@@ -43,7 +43,7 @@
         while let Ok((mut stream, _)) = listener.accept().await {
             let closed_connections = closed_connections.clone();
             spawn_local(async move {
-                let Some(request) = message(&mut stream).await else { return };
+                let Some(request) = read_message(&mut stream).await else { return };
                 let _ = stream.read_u8().await;
                 closed_connections.borrow_mut().push((request.headers["req-id"].clone(), Instant::now()));
             });
@@ -59,7 +59,7 @@
 async fn attempt_starts_after_the_connection_of_the_previous_one_has_closed(
     #[values("lookup", "correction")] class: &str,
 ) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let (address, closed) = start_hung_reader().await;
         let mut hung_target = reader.target("SERVING");
@@ -74,10 +74,11 @@
         let closed = closed.borrow();
         assert!(!closed.is_empty(), "the hung reader received no request");
         for (id, closed_at) in closed.iter() {
-            let seen = reader.seen.borrow();
-            let repeated =
-                seen.iter().find(|seen| seen.headers.get("req-id") == Some(id) && seen.method == "POST");
-            let repeated_at = repeated.expect("the request was read at the other reader").at;
+            let received = reader.received.borrow();
+            let repeated = received
+                .iter()
+                .find(|request| request.headers.get("req-id") == Some(id) && request.method == "POST");
+            let repeated_at = repeated.expect("the request was read at the other reader").received_at;
             assert!(
                 *closed_at <= repeated_at,
                 "{id} was sent again {:?} before its connection closed",
@@ -91,7 +92,7 @@
 // A probe that the settings do not allow is an error in this deployment, and has a cost in others.
 #[tokio::test]
 async fn servers_receive_only_requests_and_releases() {
-    local(async {
+    run_local(async {
         let reader = Engine::start("r1", "reader").await;
         let writers = [Engine::start("w1", "writer").await, Engine::start("w2", "writer").await];
         writers[0].mode.set(Mode::Slow(300));
@@ -109,10 +110,10 @@
             assert!(matches!(chat_status.await, Ok(200 | 429)));
         }
         for engine in writers.iter().chain([&reader]) {
-            let seen = engine.seen.borrow();
+            let received = engine.received.borrow();
             let other_calls: Vec<_> =
-                seen.iter().filter(|seen| seen.path != "/v1/chat/completions").collect();
-            assert!(other_calls.iter().all(|seen| seen.method == "DELETE"), "{other_calls:?}");
+                received.iter().filter(|request| request.path != "/v1/chat/completions").collect();
+            assert!(other_calls.iter().all(|request| request.method == "DELETE"), "{other_calls:?}");
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     })
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -22,24 +22,27 @@
 // that had left.
 #[tokio::test]
 async fn attempt_sends_the_time_left_at_the_time_of_writing() {
-    local(async {
+    run_local(async {
         let readers = [Engine::start("r1", "reader").await, Engine::start("r2", "reader").await];
         let writer = Engine::start("w1", "writer").await;
         let discovery = Discovery::start(&[&readers[0], &readers[1], &writer]).await;
         let daemon = Daemon::start(&discovery, None).await;
         for engine in readers.iter().chain([&writer]) {
-            engine.mute_to_releases.set(true);
+            engine.ignores_releases.set(true);
         }
-        readers.iter().for_each(|reader| reader.mode.set(Mode::CutOnce));
+        readers.iter().for_each(|reader| reader.mode.set(Mode::TruncatesOnce));
         let sent_at = Instant::now();
         assert_eq!(chat(daemon.address, "a1", "lookup", 3000).await.status, 200);
         let mut late_attempts = 0;
-        for seen in readers.iter().chain([&writer]).flat_map(|engine| engine.seen.borrow().clone()) {
-            let Some(deadline) = seen.headers.get("req-deadline") else { continue };
+        for request in readers.iter().chain([&writer]).flat_map(|engine| engine.received.borrow().clone()) {
+            let Some(deadline) = request.headers.get("req-deadline") else { continue };
             let deadline: f64 = deadline.trim_end_matches('m').parse().expect("milliseconds");
-            let left = 3000.0 - seen.at.duration_since(sent_at).as_secs_f64() * 1e3;
-            assert!(deadline <= left + 50.0, "the attempt was sent {deadline} ms with {left} ms left");
-            late_attempts += usize::from(left < 2800.0);
+            let time_left_ms = 3000.0 - request.received_at.duration_since(sent_at).as_secs_f64() * 1e3;
+            assert!(
+                deadline <= time_left_ms + 50.0,
+                "the attempt was sent {deadline} ms with {time_left_ms} ms left"
+            );
+            late_attempts += usize::from(time_left_ms < 2800.0);
         }
         assert!(late_attempts > 0, "no attempt followed a release that no engine answered");
     })
@@ -50,7 +53,7 @@
 // killed.
 #[tokio::test]
 async fn embeddings_request_is_answered_before_a_stopping_gateway_is_killed() {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let embedder = Engine::start("e1", "embedder").await;
         embedder.mode.set(Mode::Silent);
@@ -61,8 +64,9 @@
         let daemon = Daemon::start(&chat, Some(json!({"pools": [pool]}))).await;
         let address = daemon.address;
         let body = r#"{"model":"embedder","input":["a"]}"#;
-        let response = spawn_local(async move { ask(address, "POST", "/v1/embeddings", &[], body).await });
-        until("the request has reached the engine", async || embedder.count("/v1/") == 1).await;
+        let response =
+            spawn_local(async move { send_request(address, "POST", "/v1/embeddings", &[], body).await });
+        wait_until("the request has reached the engine", async || embedder.count("/v1/") == 1).await;
         let stopped_at = Instant::now();
         daemon.stop.notify_one();
         assert_eq!(response.await.expect("an answer").status, 504);
@@ -101,7 +105,7 @@
 #[case::left_to_the_successor(Phase::Superseded, "")]
 #[tokio::test]
 async fn requests_in_the_backlog_when_the_gateway_closes(#[case] phase: Phase, #[case] body: &str) {
-    local(async {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let shared_socket = listener.into_std().expect("a socket");
@@ -144,7 +148,7 @@
 // one deployment may affect the next.
 #[tokio::test]
 async fn settings_of_one_deployment_do_not_affect_the_next() {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let mut other = Daemon::settings();
@@ -153,18 +157,26 @@
         other["projects"] = json!([{"name": "shop", "quotaPerS": 100000.0}]);
         let outcomes = async |settings: &serde_json::Value, tenant: &str| {
             let (known, limits) = (json!(null), json!({}));
-            let daemon = Daemon::configured(settings.clone(), known, limits, discovery.address, None).await;
-            until("the daemon is ready", async || daemon.is_ready().await).await;
+            let daemon =
+                Daemon::with_settings(settings.clone(), known, limits, discovery.address, None).await;
+            wait_until("the daemon is ready", async || daemon.is_ready().await).await;
             let headers = [("Req-Id", "a1"), ("Req-Kind", "lookup"), ("Req-Owner", tenant)];
-            writer.mode.set(Mode::SaysOnce("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"));
-            let first = ask(daemon.address, "POST", "/v1/chat/completions", &headers, CHAT).await.status;
+            writer.mode.set(Mode::SendsOnce("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"));
+            let first_status =
+                send_request(daemon.address, "POST", "/v1/chat/completions", &headers, CHAT_BODY)
+                    .await
+                    .status;
             writer.mode.set(Mode::Silent);
             let start = Instant::now();
             let headers = [("Req-Id", "a2"), ("Req-Kind", "lookup"), ("Req-Owner", tenant)];
-            let response = ask(daemon.address, "POST", "/v1/chat/completions", &headers, CHAT);
+            let response = send_request(daemon.address, "POST", "/v1/chat/completions", &headers, CHAT_BODY);
             let response = tokio::time::timeout(Duration::from_secs(2), response).await;
             daemon.stop.notify_one();
-            (first, response.map(|answer| answer.status).ok(), start.elapsed() < Duration::from_secs(1))
+            (
+                first_status,
+                response.map(|answer| answer.status).ok(),
+                start.elapsed() < Duration::from_secs(1),
+            )
         };
         assert_eq!(outcomes(&Daemon::settings(), "desk").await, (200, None, false));
         assert_eq!(outcomes(&other, "shop").await, (502, Some(504), true));
@@ -178,27 +190,27 @@
 // of its own got the old deadline of its class.
 #[tokio::test]
 async fn reloaded_settings_apply_to_later_requests() {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let daemon = Daemon::start(&discovery, None).await;
         writer.mode.set(Mode::Silent);
-        let mut short = Daemon::settings();
-        short["categories"][1]["hardLimitMs"] = json!(600);
-        daemon.change_settings(short).await;
+        let mut short_deadline = Daemon::settings();
+        short_deadline["categories"][1]["hardLimitMs"] = json!(600);
+        daemon.change_settings(short_deadline).await;
         let mut n = 0;
-        until("the shorter deadline applies", async || {
+        wait_until("the shorter deadline applies", async || {
             n += 1;
             let id = format!("a{n}");
             let headers = [("Req-Id", id.as_str()), ("Req-Kind", "correction"), ("Req-Owner", "desk")];
-            let answer = ask(daemon.address, "POST", "/v1/chat/completions", &headers, CHAT);
+            let answer = send_request(daemon.address, "POST", "/v1/chat/completions", &headers, CHAT_BODY);
             let answer = tokio::time::timeout(Duration::from_millis(1_500), answer).await;
             answer.is_ok_and(|answer| answer.status == 504)
         })
         .await;
-        let seen = reader.seen.borrow();
-        let attempts = seen.iter().filter(|seen| seen.path.starts_with("/v1/"));
-        let deadlines: Vec<_> = attempts.map(|seen| seen.headers["req-deadline"].clone()).collect();
+        let received = reader.received.borrow();
+        let attempts = received.iter().filter(|request| request.path.starts_with("/v1/"));
+        let deadlines: Vec<_> = attempts.map(|request| request.headers["req-deadline"].clone()).collect();
         let last =
             deadlines.last().expect("a deadline").trim_end_matches('m').parse::<u64>().expect("milliseconds");
         assert!(last <= 600, "{deadlines:?}");
@@ -231,13 +243,13 @@
     #[case] completes: bool,
     #[values(true, false)] resume: bool,
 ) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let mut settings = Daemon::settings();
         settings["extra"]["resume"] = json!(resume);
-        let daemon = Daemon::configured(settings, json!(null), json!({}), discovery.address, None).await;
-        until("the daemon is ready", async || daemon.is_ready().await).await;
+        let daemon = Daemon::with_settings(settings, json!(null), json!({}), discovery.address, None).await;
+        wait_until("the daemon is ready", async || daemon.is_ready().await).await;
         let mut stream = idle_connection(daemon.address).await;
         let text = chat_text("a1", "lookup");
         stream.write_all(&text.as_bytes()[..bytes_before_stop]).await.expect("written");
@@ -275,7 +287,7 @@
 #[case::slow_in_body(170)]
 #[tokio::test]
 async fn request_arriving_slowly_during_a_stop_is_answered_before_the_kill(#[case] bytes_before_stop: usize) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let daemon = Daemon::start(&discovery, None).await;
@@ -308,14 +320,14 @@
 // must be answered and the state released before the process ends.
 #[tokio::test]
 async fn state_waiting_for_a_writer_during_a_stop_is_released() {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         writer.mode.set(Mode::Silent);
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let daemon = Daemon::start(&discovery, None).await;
         let address = daemon.address;
         let response = spawn_local(async move { chat(address, "a1", "lookup", 9000).await });
-        until("the writer has got an attempt", async || writer.count("/v1/") > 0).await;
+        wait_until("the writer has received an attempt", async || writer.count("/v1/") > 0).await;
         daemon.stop.notify_one();
         let answer = response.await.expect("an answer");
         assert!(matches!(answer.status, 429 | 504), "{answer:?}");
@@ -335,17 +347,17 @@
 #[case::reload_during_a_stop(false)]
 #[tokio::test]
 async fn stop_and_reload_at_the_same_time(#[case] reload_first: bool) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         reader.mode.set(Mode::Slow(400));
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let daemon = Daemon::start(&discovery, None).await;
         let address = daemon.address;
         let response = spawn_local(async move { chat(address, "a1", "lookup", 9000).await });
-        until("the reader has got an attempt", async || reader.count("/v1/") > 0).await;
+        wait_until("the reader has received an attempt", async || reader.count("/v1/") > 0).await;
         let stopped_at = Instant::now();
         if reload_first {
-            daemon.reread("{").await;
+            daemon.reload("{").await;
         }
         daemon.stop.notify_one();
         if !reload_first {
@@ -370,13 +382,13 @@
 #[case::both_answer(true)]
 #[tokio::test]
 async fn two_moves_of_discovery_in_quick_succession(#[case] first_answers: bool) {
-    local(async {
+    run_local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let (r3, writer) = (Engine::start("r3", "reader").await, Engine::start("w1", "writer").await);
         let listed = |engine: &Engine| vec![engine.target("SERVING"), writer.target("SERVING")];
-        let old = Discovery::at(1, listed(&r1)).await;
-        let first = Discovery::at(2, listed(&r2)).await;
-        let last = Discovery::at(3, listed(&r3)).await;
+        let old = Discovery::with_revision(1, listed(&r1)).await;
+        let first = Discovery::with_revision(2, listed(&r2)).await;
+        let last = Discovery::with_revision(3, listed(&r3)).await;
         let daemon = Daemon::start(&old, None).await;
         daemon.move_discovery(if first_answers { first.address } else { closed_port().await }).await;
         daemon.move_discovery(last.address).await;
@@ -386,7 +398,7 @@
             assert_eq!(chat(daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
             r3.count("/v1/") > 0
         };
-        until("the last address is used", uses_last_address).await;
+        wait_until("the last address is used", uses_last_address).await;
         let attempts_before = r1.count("/v1/") + r2.count("/v1/");
         tokio::time::sleep(Duration::from_millis(300)).await;
         for n in 0..6 {
@@ -411,7 +423,7 @@
     address
 }
 
-// A connection was established and then the server process was killed. The whole request may have been
+// A connection was established and then the server process was killed. The complete request may have been
 // written by then, so a request that must not run twice is not sent again; any other request is.
 #[rstest]
 #[tokio::test]
@@ -419,13 +431,13 @@
     #[values(true, false)] at_once: bool,
     #[values(("lookup", 200), ("correction", 502))] class: (&str, u16),
 ) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let mut dying = writer.target("SERVING");
         dying["uid"] = json!("w0");
         dying["endpoint"] = json!(dying_writer(at_once).await.to_string());
         let listed = vec![reader.target("SERVING"), writer.target("SERVING"), dying];
-        let daemon = Daemon::start(&Discovery::at(1, listed).await, None).await;
+        let daemon = Daemon::start(&Discovery::with_revision(1, listed).await, None).await;
         let mut failed = 0;
         for n in 0..6 {
             let attempts_before = writer.count("/v1/");
@@ -478,7 +490,7 @@
 #[tokio::test]
 async fn request_read_while_its_idle_connection_is_evicted_is_answered() {
     const IDLE_CONNECTIONS: usize = 12;
-    local(async {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let long = Duration::from_secs(10);
@@ -543,7 +555,7 @@
 // any engine and were abandoned immediately.
 #[tokio::test]
 async fn states_are_released_while_every_connection_is_in_use() {
-    local(async {
+    run_local(async {
         let reader = Engine::start("r1", "reader").await;
         let writers = [
             Engine::start("w1", "writer").await,
@@ -553,16 +565,20 @@
         writers.iter().for_each(|writer| writer.mode.set(Mode::Silent));
         let discovery = Discovery::start(&[&reader, &writers[0], &writers[1], &writers[2]]).await;
         // These limits allow eight clients and eight connections to engines.
-        let daemon = Daemon::within(json!({"memory_mb": 64, "sockets": 64}), &discovery, None).await;
+        let daemon = Daemon::with_limits(json!({"memory_mb": 64, "sockets": 64}), &discovery, None).await;
         let address = daemon.address;
         let requests: Vec<_> = (0..8)
             .map(|n| spawn_local(async move { chat(address, &format!("a{n}"), "correction", 9000).await }))
             .collect();
-        until("the reader has got seven attempts", async || reader.count("/v1/") >= 7).await;
+        wait_until("the reader has received seven attempts", async || reader.count("/v1/") >= 7).await;
         // The limit in the settings, and the 300 ms that the protocol adds to it.
         tokio::time::sleep(Duration::from_millis(300 + 300)).await;
-        let ids: Vec<_> =
-            reader.seen.borrow().iter().filter_map(|seen| seen.headers.get("req-id").cloned()).collect();
+        let ids: Vec<_> = reader
+            .received
+            .borrow()
+            .iter()
+            .filter_map(|request| request.headers.get("req-id").cloned())
+            .collect();
         for id in ids {
             let path = format!("/state/{id}");
             let released =
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -10,81 +10,81 @@
 // at the old one and sent to engines that were long gone.
 #[tokio::test]
 async fn watch_moves_without_a_gap() {
-    local(async {
+    run_local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let writer = Engine::start("w1", "writer").await;
         let old = Discovery::start(&[&r1, &writer]).await;
         let daemon = Daemon::start(&old, None).await;
-        let ask = async |id: &str| chat(daemon.address, id, "lookup", 9000).await.status;
+        let chat_status = async |id: &str| chat(daemon.address, id, "lookup", 9000).await.status;
 
         // No process listens at the new address: the current list and the old watch stay in use.
         daemon.move_discovery(closed_port().await).await;
-        assert_eq!(ask("a1").await, 200);
+        assert_eq!(chat_status("a1").await, 200);
         old.add(&r2);
-        old.set(&r1, "DRAINING");
+        old.set_state(&r1, "DRAINING");
         let mut n = 0;
         let sent_to_second = async || {
             n += 1;
-            assert_eq!(ask(&format!("b{n}")).await, 200);
+            assert_eq!(chat_status(&format!("b{n}")).await, 200);
             r2.count("/v1/") > 0
         };
-        until("the old watch is followed", sent_to_second).await;
+        wait_until("the old watch is followed", sent_to_second).await;
 
         // An invalid file changes nothing and stops nothing.
-        daemon.reread("{").await;
-        assert_eq!(ask("c1").await, 200);
+        daemon.reload("{").await;
+        assert_eq!(chat_status("c1").await, 200);
 
         // The new server lists an engine that the old one never listed, and not all of the old ones.
         let r3 = Engine::start("r3", "reader").await;
-        let new = Discovery::at(9, vec![r3.target("SERVING"), writer.target("SERVING")]).await;
+        let new = Discovery::with_revision(9, vec![r3.target("SERVING"), writer.target("SERVING")]).await;
         daemon.move_discovery(new.address).await;
         let sent_to_third = async || {
             n += 1;
-            assert_eq!(ask(&format!("d{n}")).await, 200);
+            assert_eq!(chat_status(&format!("d{n}")).await, 200);
             r3.count("/v1/") > 0
         };
-        until("the new watch is followed", sent_to_third).await;
-        old.set(&r2, "SERVING");
+        wait_until("the new watch is followed", sent_to_third).await;
+        old.set_state(&r2, "SERVING");
         for n in 0..8 {
-            assert_eq!(ask(&format!("e{n}")).await, 200);
+            assert_eq!(chat_status(&format!("e{n}")).await, 200);
         }
         assert!(r3.count("/v1/") >= 8, "the old watch is still followed");
     })
     .await;
 }
 
-// The first response of a new address was accepted as a whole list whatever it held: an agent that had just
+// The first response of a new address was accepted as a full list whatever it held: an agent that had just
 // started, with no list or an old one, took every engine out of use and brought drained engines back.
 #[tokio::test]
 async fn address_with_an_older_revision_removes_no_engine_and_brings_none_back() {
-    local(async {
+    run_local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let (r3, writer) = (Engine::start("r3", "reader").await, Engine::start("w1", "writer").await);
         let serving = |engines: &[&Engine]| engines.iter().map(|e| e.target("SERVING")).collect::<Vec<_>>();
-        let old = Discovery::at(40, serving(&[&r1, &r2, &writer])).await;
+        let old = Discovery::with_revision(40, serving(&[&r1, &r2, &writer])).await;
         let daemon = Daemon::start(&old, None).await;
         let mut n = 0;
-        let mut ask = async || {
+        let mut send_chat = async || {
             n += 1;
             assert_eq!(chat(daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
         };
-        let drained = old.set(&r1, "DRAINING");
-        until("the drain is announced", async || old.has_told(drained)).await;
+        let drain_revision = old.set_state(&r1, "DRAINING");
+        wait_until("the drain is announced", async || old.has_announced(drain_revision)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         let count_before = r1.count("/v1/");
 
         // An empty list, then a list from before the drain that lacks an engine, then one with a drain.
-        let empty = Discovery::at(1, Vec::new()).await;
+        let empty = Discovery::with_revision(1, Vec::new()).await;
         daemon.move_discovery(empty.address).await;
-        until("the empty list is sent", async || empty.has_told(1)).await;
+        wait_until("the empty list is sent", async || empty.has_announced(1)).await;
         for _ in 0..8 {
-            ask().await;
+            send_chat().await;
         }
-        let lagging = Discovery::at(30, serving(&[&r1, &r3, &writer])).await;
+        let lagging = Discovery::with_revision(30, serving(&[&r1, &r3, &writer])).await;
         daemon.move_discovery(lagging.address).await;
-        until("the older list is sent", async || lagging.has_told(30)).await;
+        wait_until("the older list is sent", async || lagging.has_announced(30)).await;
         for _ in 0..8 {
-            ask().await;
+            send_chat().await;
         }
         assert_eq!(
             (r1.count("/v1/"), r3.count("/v1/")),
@@ -95,14 +95,14 @@
         // The new address catches up: its changes are accepted
         // from then on, and the old address is no longer followed.
         for _ in 0..10 {
-            lagging.set(&r1, "DRAINING");
+            lagging.set_state(&r1, "DRAINING");
         }
         lagging.add(&r3);
         let mut caught_up = async || {
-            ask().await;
+            send_chat().await;
             r3.count("/v1/") > 0
         };
-        until("the new address has caught up", &mut caught_up).await;
+        wait_until("the new address has caught up", &mut caught_up).await;
         assert_eq!(r1.count("/v1/"), count_before);
     })
     .await;
@@ -111,12 +111,12 @@
 // Revisions start again when discovery is set up anew: its engines were never taken into use.
 #[tokio::test]
 async fn address_that_keeps_an_older_revision_is_accepted() {
-    local(async {
+    run_local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let writer = Engine::start("w1", "writer").await;
-        let old = Discovery::at(40, vec![r1.target("SERVING"), writer.target("SERVING")]).await;
+        let old = Discovery::with_revision(40, vec![r1.target("SERVING"), writer.target("SERVING")]).await;
         let daemon = Daemon::start(&old, None).await;
-        let new = Discovery::at(3, vec![r2.target("SERVING"), writer.target("SERVING")]).await;
+        let new = Discovery::with_revision(3, vec![r2.target("SERVING"), writer.target("SERVING")]).await;
         daemon.move_discovery(new.address).await;
         let mut n = 0;
         let mut followed = async || {
@@ -124,7 +124,7 @@
             assert_eq!(chat(daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
             r2.count("/v1/") > 0
         };
-        until("the new address is followed", &mut followed).await;
+        wait_until("the new address is followed", &mut followed).await;
     })
     .await;
 }
@@ -137,7 +137,7 @@
 #[case::only_stopped(&[])]
 #[tokio::test]
 async fn reloads_in_a_row_and_a_shutdown_right_after_lose_nothing(#[case] reloads: &[&str]) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let old = Discovery::start(&[&reader, &writer]).await;
         let daemon = Daemon::start(&old, None).await;
@@ -148,12 +148,12 @@
             .map(|id| spawn_local(async move { chat(address, &id, "lookup", 9000).await.status }))
             .collect();
         // Each request reaches its first engine before the reloads.
-        until("the requests reach the reader", async || reader.count("/v1/") == 8).await;
+        wait_until("the requests reach the reader", async || reader.count("/v1/") == 8).await;
         for reload in reloads {
             match *reload {
                 "away" => daemon.move_discovery(unreachable).await,
                 "back" => daemon.move_discovery(old.address).await,
-                _ => daemon.reread(r#"{"listen":"#).await,
+                _ => daemon.reload(r#"{"listen":"#).await,
             }
         }
         daemon.stop.notify_one();
@@ -176,21 +176,21 @@
 #[case::no_reload(&[], false)]
 #[tokio::test]
 async fn reloads_before_the_first_list(#[case] reloads: &[&str], #[case] serves: bool) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let unreachable = closed_port().await;
-        let daemon = Daemon::before_its_list(json!({}), unreachable, None).await;
+        let daemon = Daemon::without_list(json!({}), unreachable, None).await;
         assert!(!daemon.is_ready().await);
         for reload in reloads {
             match *reload {
                 "away" => daemon.move_discovery(closed_port().await).await,
                 "there" => daemon.move_discovery(discovery.address).await,
-                _ => daemon.reread(r#"{"listen":"#).await,
+                _ => daemon.reload(r#"{"listen":"#).await,
             }
         }
         if serves {
-            until("the daemon is ready", async || daemon.is_ready().await).await;
+            wait_until("the daemon is ready", async || daemon.is_ready().await).await;
             assert_eq!(chat(daemon.address, "a1", "lookup", 9000).await.status, 200);
         } else {
             // The request waits for an engine no longer than its
--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::gateways::Gateway;
 use crate::judge::{Effect, Judge, Outcome};
-use crate::loopback::CHAT;
+use crate::loopback::CHAT_BODY;
 use fastrand::Rng;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -126,10 +126,10 @@
         rng: &mut Rng,
     ) -> Option<Exchange> {
         let closed_exchange = Exchange { outcome: Outcome::Closed, reusable: false };
-        let (deadline_ms, body_length) = (deadline.as_millis(), CHAT.len());
+        let (deadline_ms, body_length) = (deadline.as_millis(), CHAT_BODY.len());
         let request_text = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\nReq-Owner: desk\r\n\
-             Req-Deadline: {deadline_ms}m\r\nReq-Extra: prompt_len=100,max_out=60\r\nContent-Length: {body_length}\r\n\r\n{CHAT}"
+             Req-Deadline: {deadline_ms}m\r\nReq-Extra: prompt_len=100,max_out=60\r\nContent-Length: {body_length}\r\n\r\n{CHAT_BODY}"
         );
         let split_index = rng.usize(1..request_text.len());
         let (first_part, second_part) = if behaviour == ClientBehaviour::Normal {
--- a/tests/soak/discovery.rs
+++ b/tests/soak/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery agents that report the same list of servers to each gateway.
 
 use crate::judge::Judge;
-use crate::loopback::message;
+use crate::loopback::read_message;
 use crate::servers::Server;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -115,7 +115,7 @@
     async fn watch(self: Rc<Self>, gateway: usize, mut stream: TcpStream) {
         let opened_at = Instant::now();
         let is_silenced = || self.silenced_at.get().is_some_and(|silenced_at| opened_at < silenced_at);
-        while let Some(request) = message(&mut stream).await {
+        while let Some(request) = read_message(&mut stream).await {
             if is_silenced() || self.unavailable.get() {
                 return std::future::pending().await;
             }
--- a/tests/soak/judge.rs
+++ b/tests/soak/judge.rs
@@ -330,19 +330,19 @@
         }
     }
 
-    /// Records that a gateway knows from `at` on that a server drains, or that the server serves again.
-    pub fn drain_changed(&mut self, gateway: usize, server: usize, drains: bool, at: Instant) {
+    /// Records that a gateway knows from `known_at` on that a server drains, or that the server serves again.
+    pub fn drain_changed(&mut self, gateway: usize, server: usize, drains: bool, known_at: Instant) {
         if drains {
-            self.draining_since.entry((gateway, server)).or_insert(at);
+            self.draining_since.entry((gateway, server)).or_insert(known_at);
         } else {
             self.draining_since.remove(&(gateway, server));
         }
     }
 
-    /// Records that a gateway knows at `at` that a server drains. An earlier recorded time is kept.
-    pub fn drain_known_at(&mut self, gateway: usize, server: usize, at: Instant) {
-        let known_since = self.draining_since.entry((gateway, server)).or_insert(at);
-        *known_since = at.min(*known_since);
+    /// Records that a gateway knows at `known_at` that a server drains. An earlier recorded time is kept.
+    pub fn drain_known_at(&mut self, gateway: usize, server: usize, known_at: Instant) {
+        let known_since = self.draining_since.entry((gateway, server)).or_insert(known_at);
+        *known_since = known_at.min(*known_since);
     }
 
     pub fn gateway_stopping(&mut self, gateway: usize) {
--- a/tests/soak/scenario.rs
+++ b/tests/soak/scenario.rs
@@ -5,7 +5,7 @@
 use crate::discovery::Discovery;
 use crate::gateways::{Gateway, SyscallFaults};
 use crate::judge::{Effect, Judge};
-use crate::loopback::ask;
+use crate::loopback::send_request;
 use crate::network::{LinkCondition, measure_lateness};
 use crate::servers::{Behaviour, HeldStates, Server, SharedContext};
 use fastrand::Rng;
@@ -336,7 +336,7 @@
     /// progress.
     async fn check_metrics(&self) {
         for gateway in self.gateways.iter().filter(|gateway| gateway.accepts_clients.get()) {
-            let stats_request = ask(gateway.management, "GET", "/ops/stats", &[], "");
+            let stats_request = send_request(gateway.management, "GET", "/ops/stats", &[], "");
             let Ok(stats) = tokio::time::timeout(Duration::from_secs(2), stats_request).await else {
                 self.judge.borrow_mut().gateway_crashed(gateway.number, "no metrics in time");
                 continue;
--- a/tests/soak/servers.rs
+++ b/tests/soak/servers.rs
@@ -2,7 +2,7 @@
 //! receive to the judge.
 
 use crate::judge::Judge;
-use crate::loopback::{Seen, message};
+use crate::loopback::{ReceivedRequest, read_message};
 use crate::network::{Link, Proxy};
 use fastrand::Rng;
 use std::cell::{Cell, RefCell};
@@ -100,7 +100,7 @@
 impl Connection {
     async fn serve(self, stream: DuplexStream) {
         let mut stream = BufReader::new(stream);
-        while let Some(request) = message(&mut stream).await {
+        while let Some(request) = read_message(&mut stream).await {
             if self.answer(&mut stream, &request).await.is_none() {
                 return;
             }
@@ -109,7 +109,7 @@
     }
 
     /// Answers one request. Returns `None` if the connection must end.
-    async fn answer(&self, stream: &mut BufReader<DuplexStream>, request: &Seen) -> Option<()> {
+    async fn answer(&self, stream: &mut BufReader<DuplexStream>, request: &ReceivedRequest) -> Option<()> {
         if let Some(id) = request.path.strip_prefix("/state/") {
             if self.behaviour.get() == Behaviour::Hangs {
                 return std::future::pending().await;
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -47,7 +47,7 @@
 
 /// Answers each request on a connection with a stream of events and records the write times.
 async fn answer_requests(mut stream: TcpStream, write_mode: WriteMode, streams: WriteTimes) {
-    while message(&mut stream).await.is_some() {
+    while read_message(&mut stream).await.is_some() {
         let number = streams.borrow().len();
         streams.borrow_mut().push(Vec::new());
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -100,14 +100,14 @@
     #[values(1, 60)] streams: usize,
     #[values(false, true)] beside_unread_streams: bool,
 ) {
-    local(async {
+    run_local(async {
         let reader = Engine::start("r1", "reader").await;
         let (address, write_times) = start_writer(write_mode).await;
         let mut target = reader.target("SERVING");
         target["uid"] = json!("w1");
         target["model"] = json!("writer");
         target["endpoint"] = json!(address.to_string());
-        let discovery = Discovery::at(1, vec![reader.target("SERVING"), target]).await;
+        let discovery = Discovery::with_revision(1, vec![reader.target("SERVING"), target]).await;
         let daemon = Daemon::start(&discovery, None).await;
         let gateway_address = daemon.address;
         let mut unread_streams = Vec::new();
