--- a/tests/chat.rs
+++ b/tests/chat.rs
@@ -5,14 +5,14 @@
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-struct World {
+struct Fixture {
     readers: [Engine; 2],
     writers: [Engine; 2],
     discovery: Discovery,
     daemon: Daemon,
 }
 
-impl World {
+impl Fixture {
     async fn start() -> Self {
         let readers = [Engine::start("r1", "reader").await, Engine::start("r2", "reader").await];
         let writers = [Engine::start("w1", "writer").await, Engine::start("w2", "writer").await];
@@ -38,10 +38,10 @@
 #[tokio::test]
 async fn events_reach_the_client_unchanged_and_the_job_reaches_both_engines() {
     run_local(async {
-        let world = World::start().await;
-        let answer = chat(world.daemon.address, "a1", "lookup", 9000).await;
+        let fixture = Fixture::start().await;
+        let answer = chat(fixture.daemon.address, "a1", "lookup", 9000).await;
         assert_eq!((answer.status, answer.body, answer.complete), (200, EVENTS.concat(), true));
-        for engine in world.readers.iter().chain(&world.writers) {
+        for engine in fixture.readers.iter().chain(&fixture.writers) {
             for request in engine.received.borrow().iter() {
                 assert_eq!(
                     (request.headers["req-id"].as_str(), request.body.as_slice()),
@@ -50,7 +50,7 @@
             }
         }
         assert_eq!(
-            (world.calls(&world.readers), world.calls(&world.writers), world.releases("a1")),
+            (fixture.calls(&fixture.readers), fixture.calls(&fixture.writers), fixture.releases("a1")),
             (1, 1, 0)
         );
     })
@@ -65,9 +65,9 @@
 #[tokio::test]
 async fn idempotency_key_reaches_every_engine_as_the_client_sent_it(#[case] key: Option<&str>) {
     run_local(async {
-        let world = World::start().await;
-        world.set_mode(&world.writers, Mode::Declines);
-        world.writers[0].mode.set(Mode::Healthy);
+        let fixture = Fixture::start().await;
+        fixture.set_mode(&fixture.writers, Mode::Declines);
+        fixture.writers[0].mode.set(Mode::Healthy);
         let required_headers = [("Req-Kind", "lookup"), ("Req-Owner", "desk"), ("Req-Deadline", "9000m")];
         for n in 0..6 {
             let id = format!("a{n}");
@@ -75,11 +75,12 @@
             headers.push(("Req-Id", &id));
             headers.extend(key.map(|key| ("Idempotency-Key", key)));
             let answer =
-                send_request(world.daemon.address, "POST", "/v1/chat/completions", &headers, CHAT_BODY).await;
+                send_request(fixture.daemon.address, "POST", "/v1/chat/completions", &headers, CHAT_BODY)
+                    .await;
             assert_eq!(answer.status, 200);
         }
-        assert!(world.writers[1].count("/v1/") > 0, "no attempt was repeated");
-        for engine in world.readers.iter().chain(&world.writers) {
+        assert!(fixture.writers[1].count("/v1/") > 0, "no attempt was repeated");
+        for engine in fixture.readers.iter().chain(&fixture.writers) {
             let received = engine.received.borrow();
             let attempts = received.iter().filter(|request| request.path.starts_with("/v1/"));
             let keys: Vec<_> =
@@ -106,13 +107,14 @@
     #[case] status: u16,
 ) {
     run_local(async {
-        let world = World::start().await;
-        let answer = send_request(world.daemon.address, "POST", "/v1/chat/completions", headers, body).await;
+        let fixture = Fixture::start().await;
+        let answer =
+            send_request(fixture.daemon.address, "POST", "/v1/chat/completions", headers, body).await;
         assert_eq!(answer.status, status);
         assert!(answer.json()["error"]["message"].is_string());
-        assert_eq!(world.calls(&world.readers), 0);
+        assert_eq!(fixture.calls(&fixture.readers), 0);
         assert_eq!(
-            chat(world.daemon.address, "b", "lookup", 9000).await.status,
+            chat(fixture.daemon.address, "b", "lookup", 9000).await.status,
             200,
             "the gateway no longer serves requests"
         );
@@ -123,10 +125,10 @@
 #[tokio::test]
 async fn oversized_body_and_unsupported_calls_get_the_right_status() {
     run_local(async {
-        let world = World::start().await;
+        let fixture = Fixture::start().await;
         let oversized_body = "x".repeat((256 << 10) + 1);
         let headers = [("Req-Id", "a"), ("Req-Kind", "lookup"), ("Req-Owner", "desk")];
-        let address = world.daemon.address;
+        let address = fixture.daemon.address;
         assert_eq!(
             send_request(address, "POST", "/v1/chat/completions", &headers, &oversized_body).await.status,
             413
@@ -134,7 +136,7 @@
         assert_eq!(send_request(address, "GET", "/v1/chat/completions", &[], "").await.status, 405);
         // The embeddings and rerank front is disabled unless an operator configures it.
         assert_eq!(send_request(address, "POST", "/v1/embeddings", &[], "{}").await.status, 404);
-        assert_eq!(world.calls(&world.readers), 0);
+        assert_eq!(fixture.calls(&fixture.readers), 0);
     })
     .await;
 }
@@ -143,10 +145,10 @@
 #[tokio::test]
 async fn broken_stream_ends_without_the_last_chunk() {
     run_local(async {
-        let world = World::start().await;
-        world.set_mode(&world.writers, Mode::Truncates);
-        let answer = chat(world.daemon.address, "a1", "lookup", 9000).await;
-        assert_eq!((answer.status, answer.complete, world.calls(&world.writers)), (200, false, 1));
+        let fixture = Fixture::start().await;
+        fixture.set_mode(&fixture.writers, Mode::Truncates);
+        let answer = chat(fixture.daemon.address, "a1", "lookup", 9000).await;
+        assert_eq!((answer.status, answer.complete, fixture.calls(&fixture.writers)), (200, false, 1));
     })
     .await;
 }
@@ -156,11 +158,11 @@
 #[tokio::test]
 async fn unsafe_request_at_a_silent_writer_fails_in_time_and_is_not_repeated() {
     run_local(async {
-        let world = World::start().await;
-        world.set_mode(&world.writers, Mode::Silent);
+        let fixture = Fixture::start().await;
+        fixture.set_mode(&fixture.writers, Mode::Silent);
         let start = Instant::now();
-        let answer = chat(world.daemon.address, "a1", "correction", 1500).await;
-        assert_eq!((answer.status, world.calls(&world.writers)), (504, 1));
+        let answer = chat(fixture.daemon.address, "a1", "correction", 1500).await;
+        assert_eq!((answer.status, fixture.calls(&fixture.writers)), (504, 1));
         assert!(
             start.elapsed() < Duration::from_millis(1500),
             "the answer arrived after the client's deadline"
@@ -172,13 +174,13 @@
 #[tokio::test]
 async fn unsafe_request_that_provably_never_ran_goes_to_another_writer() {
     run_local(async {
-        let world = World::start().await;
-        world.writers[0].mode.set(Mode::Declines);
+        let fixture = Fixture::start().await;
+        fixture.writers[0].mode.set(Mode::Declines);
         for n in 0..6 {
-            let answer = chat(world.daemon.address, &format!("a{n}"), "correction", 9000).await;
+            let answer = chat(fixture.daemon.address, &format!("a{n}"), "correction", 9000).await;
             assert_eq!(answer.status, 200);
         }
-        assert!(world.writers[0].count("/v1/") > 0, "the declining writer was never tried");
+        assert!(fixture.writers[0].count("/v1/") > 0, "the declining writer was never tried");
     })
     .await;
 }
@@ -188,9 +190,9 @@
 #[tokio::test]
 async fn refusal_has_a_retry_delay() {
     run_local(async {
-        let world = World::start().await;
-        world.set_mode(&world.readers, Mode::Silent);
-        let answer = chat(world.daemon.address, "a1", "lookup", 1200).await;
+        let fixture = Fixture::start().await;
+        fixture.set_mode(&fixture.readers, Mode::Silent);
+        let answer = chat(fixture.daemon.address, "a1", "lookup", 1200).await;
         assert_eq!(answer.status, 429);
         assert!(answer.head.contains("retry-after: 0."), "{}", answer.head);
     })
@@ -202,10 +204,10 @@
 #[tokio::test]
 async fn state_of_an_abandoned_request_is_released_at_a_running_engine() {
     run_local(async {
-        let world = World::start().await;
-        world.set_mode(&world.readers, Mode::Silent);
-        assert_eq!(chat(world.daemon.address, "a1", "lookup", 900).await.status, 429);
-        let release_received = async || world.writers.iter().any(|e| e.count("/state/a1") > 0);
+        let fixture = Fixture::start().await;
+        fixture.set_mode(&fixture.readers, Mode::Silent);
+        assert_eq!(chat(fixture.daemon.address, "a1", "lookup", 900).await.status, 429);
+        let release_received = async || fixture.writers.iter().any(|e| e.count("/state/a1") > 0);
         wait_until("a writer has received the release", release_received).await;
     })
     .await;
@@ -216,14 +218,14 @@
 #[tokio::test]
 async fn request_of_a_disconnected_client_is_released() {
     run_local(async {
-        let world = World::start().await;
-        world.set_mode(&world.readers, Mode::Slow(2000));
-        let request = chat(world.daemon.address, "a1", "lookup", 15000);
+        let fixture = Fixture::start().await;
+        fixture.set_mode(&fixture.readers, Mode::Slow(2000));
+        let request = chat(fixture.daemon.address, "a1", "lookup", 15000);
         tokio::time::timeout(Duration::from_millis(300), request)
             .await
             .expect_err("the reader answers only after two seconds");
-        wait_until("the state is released", async || world.releases("a1") > 0).await;
-        assert_eq!(world.calls(&world.writers), 0);
+        wait_until("the state is released", async || fixture.releases("a1") > 0).await;
+        assert_eq!(fixture.calls(&fixture.writers), 0);
     })
     .await;
 }
@@ -231,15 +233,15 @@
 #[tokio::test]
 async fn draining_engine_gets_no_new_request() {
     run_local(async {
-        let world = World::start().await;
-        assert_eq!(chat(world.daemon.address, "a0", "lookup", 9000).await.status, 200);
-        let drain_revision = world.discovery.set_state(&world.readers[0], "DRAINING");
+        let fixture = Fixture::start().await;
+        assert_eq!(chat(fixture.daemon.address, "a0", "lookup", 9000).await.status, 200);
+        let drain_revision = fixture.discovery.set_state(&fixture.readers[0], "DRAINING");
         for n in 1..40 {
-            assert_eq!(chat(world.daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
+            assert_eq!(chat(fixture.daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let grace_end = world.discovery.announced_at(drain_revision) + Duration::from_millis(250);
-        assert!(world.readers[0].received.borrow().iter().all(|request| request.received_at < grace_end));
+        let grace_end = fixture.discovery.announced_at(drain_revision) + Duration::from_millis(250);
+        assert!(fixture.readers[0].received.borrow().iter().all(|request| request.received_at < grace_end));
     })
     .await;
 }
@@ -249,13 +251,13 @@
 #[tokio::test]
 async fn connection_that_the_engine_closed_is_not_used_again() {
     run_local(async {
-        let world = World::start().await;
-        world.set_mode(&world.readers, Mode::Closes);
-        world.set_mode(&world.writers, Mode::Closes);
+        let fixture = Fixture::start().await;
+        fixture.set_mode(&fixture.readers, Mode::Closes);
+        fixture.set_mode(&fixture.writers, Mode::Closes);
         for n in 0..8 {
-            assert_eq!(chat(world.daemon.address, &format!("a{n}"), "correction", 9000).await.status, 200);
+            assert_eq!(chat(fixture.daemon.address, &format!("a{n}"), "correction", 9000).await.status, 200);
         }
-        assert_eq!((world.calls(&world.readers), world.calls(&world.writers)), (8, 8));
+        assert_eq!((fixture.calls(&fixture.readers), fixture.calls(&fixture.writers)), (8, 8));
     })
     .await;
 }
@@ -263,12 +265,12 @@
 #[tokio::test]
 async fn stopping_gateway_serves_requests_that_still_arrive_and_then_ends() {
     run_local(async {
-        let world = World::start().await;
-        world.set_mode(&world.readers, Mode::Slow(600));
-        let address = world.daemon.address;
+        let fixture = Fixture::start().await;
+        fixture.set_mode(&fixture.readers, Mode::Slow(600));
+        let address = fixture.daemon.address;
         let early = tokio::task::spawn_local(async move { chat(address, "a1", "lookup", 9000).await });
-        wait_until("the request has reached a reader", async || world.calls(&world.readers) > 0).await;
-        world.daemon.stop.notify_one();
+        wait_until("the request has reached a reader", async || fixture.calls(&fixture.readers) > 0).await;
+        fixture.daemon.stop.notify_one();
         wait_until("the daemon is not ready", async || {
             send_request(address, "GET", "/ready", &[], "").await.status == 503
         })
@@ -279,7 +281,7 @@
             "a request within the grace period was not served"
         );
         assert_eq!(early.await.expect("the client task completes").status, 200);
-        tokio::time::timeout(Duration::from_secs(10), world.daemon.ended)
+        tokio::time::timeout(Duration::from_secs(10), fixture.daemon.task)
             .await
             .expect("the daemon ends in time")
             .expect("the daemon task completes");
@@ -296,16 +298,16 @@
 #[tokio::test]
 async fn release_is_sent_before_the_prompt_is_read_again(#[case] unreachable: bool) {
     run_local(async {
-        let mut world = World::start().await;
-        world.readers[0].mode.set(Mode::TruncatesOnce);
+        let mut fixture = Fixture::start().await;
+        fixture.readers[0].mode.set(Mode::TruncatesOnce);
         if unreachable {
-            world.readers[0].address = closed_port().await;
-            world.discovery.set_state(&world.readers[0], "SERVING");
+            fixture.readers[0].address = closed_port().await;
+            fixture.discovery.set_state(&fixture.readers[0], "SERVING");
         }
         let mut repeated_reads = 0;
         for n in 0..6 {
             let id = format!("a{n}");
-            assert_eq!(chat(world.daemon.address, &id, "correction", 9000).await.status, 200);
+            assert_eq!(chat(fixture.daemon.address, &id, "correction", 9000).await.status, 200);
             let times = |engines: &[Engine], path: &str| {
                 let received: Vec<_> = engines.iter().flat_map(|e| e.received.borrow().clone()).collect();
                 let requests = received.into_iter().filter(|request| request.path.starts_with(path));
@@ -315,9 +317,10 @@
                 times.sort();
                 times
             };
-            let reads = times(&world.readers, "/v1/");
+            let reads = times(&fixture.readers, "/v1/");
             let state_path = format!("/state/{id}");
-            let releases = [times(&world.readers, &state_path), times(&world.writers, &state_path)].concat();
+            let releases =
+                [times(&fixture.readers, &state_path), times(&fixture.writers, &state_path)].concat();
             assert_eq!(releases.len(), reads.len() - 1, "one release for each broken read");
             assert!(
                 releases.iter().all(|released_at| released_at < reads.last().expect("the prompt was read"))
@@ -325,7 +328,7 @@
             repeated_reads += reads.len() - 1;
         }
         assert_eq!(repeated_reads, usize::from(!unreachable));
-        assert!(world.readers[1].count("/v1/") >= 1);
+        assert!(fixture.readers[1].count("/v1/") >= 1);
     })
     .await;
 }
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -112,8 +112,8 @@
     run_local(async {
         let fixture = Fixture::start().await;
         let mut stream = connect(fixture.daemon.address).await;
-        let text = format!("{HEAD}Req-Id: a1\r\n{lengths}\r\n0\r\n\r\n{}", request("hidden"));
-        stream.write_all(text.as_bytes()).await.expect("the request is written");
+        let request_text = format!("{HEAD}Req-Id: a1\r\n{lengths}\r\n0\r\n\r\n{}", request("hidden"));
+        stream.write_all(request_text.as_bytes()).await.expect("the request is written");
         let answer = read_to_close(stream).await;
         assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
         assert_eq!(answer.matches("HTTP/1.1").count(), 1, "the hidden request got a response: {answer}");
@@ -130,8 +130,9 @@
         let fixture = Fixture::start().await;
         let mut stream = connect(fixture.daemon.address).await;
         let chunk = format!("{:x}\r\n{CHAT_BODY}\r\n0\r\n\r\n", CHAT_BODY.len());
-        let text = format!("{HEAD}Req-Id: a1\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{}", request("a2"));
-        stream.write_all(text.as_bytes()).await.expect("the request is written");
+        let request_text =
+            format!("{HEAD}Req-Id: a1\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{}", request("a2"));
+        stream.write_all(request_text.as_bytes()).await.expect("the request is written");
         let answer = read_to_close(stream).await;
         assert!(answer.starts_with("HTTP/1.1 200 ") && answer.contains(EVENTS[2].trim()), "{answer}");
         assert_eq!((answer.matches("HTTP/1.1").count(), fixture.reader.count("/v1/")), (1, 1));
@@ -182,9 +183,9 @@
             // A client without a free slot is closed, perhaps before it has sent anything.
             let _ = late_client.write_all(request(&format!("late{n}")).as_bytes()).await;
             let mut response_start = [0; 12];
-            let read =
+            let read_result =
                 tokio::time::timeout(Duration::from_secs(4), late_client.read(&mut response_start)).await;
-            assert!(read.is_ok(), "neither a response nor a close after {:?}", start.elapsed());
+            assert!(read_result.is_ok(), "neither a response nor a close after {:?}", start.elapsed());
         }
         let metrics = send_request(daemon.management, "GET", "/ops/stats", &[], "").await;
         assert_eq!(metrics.status, 200);
--- a/tests/engines.rs
+++ b/tests/engines.rs
@@ -41,7 +41,7 @@
 }
 
 // Nothing of the response was passed on, so it is one failed attempt, which may have run. Once a part was
-// passed on, the client would have lost the whole request.
+// passed on, the client would have lost the complete request.
 #[rstest]
 #[case::noise("\u{1}\u{2}noise\r\n\r\n")]
 #[case::unreadable_head("HTTP/9.9 200 OK\r\n\r\n")]
@@ -137,7 +137,7 @@
         );
         assert!(answer.status == 200 && answer.body.contains("data") && !answer.complete, "{answer:?}");
         assert_eq!(fixture.run_count(), 1, "the request was sent again though it may have run");
-        tokio::time::timeout(Duration::from_secs(5), fixture.daemon.ended)
+        tokio::time::timeout(Duration::from_secs(5), fixture.daemon.task)
             .await
             .expect("the daemon ends in time")
             .expect("the daemon ends without an error");
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -137,8 +137,8 @@
     let mut bytes = Vec::new();
     // A reset ends the received data, too.
     let _ = tokio::time::timeout(Duration::from_secs(2), stream.read_to_end(&mut bytes)).await;
-    let text = String::from_utf8_lossy(&bytes).to_ascii_lowercase();
-    let Some((head, body)) = text.split_once("\r\n\r\n") else { return (bytes.len(), false) };
+    let received_text = String::from_utf8_lossy(&bytes).to_ascii_lowercase();
+    let Some((head, body)) = received_text.split_once("\r\n\r\n") else { return (bytes.len(), false) };
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
     let length: usize = length.and_then(|length| length.parse().ok()).expect("a length");
     (bytes.len(), body.len() >= length)
--- a/tests/inference.rs
+++ b/tests/inference.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-struct World {
+struct Fixture {
     reader: Engine,
     writer: Engine,
     embedders: [Engine; 2],
@@ -19,7 +19,7 @@
     daemon: Daemon,
 }
 
-impl World {
+impl Fixture {
     async fn start(rerank_effect: &str, deadline_ms: u64) -> Self {
         let reader = Engine::start("r1", "reader").await;
         let writer = Engine::start("w1", "writer").await;
@@ -67,23 +67,23 @@
 #[tokio::test]
 async fn mixed_traffic_through_a_drain_loses_and_repeats_no_request() {
     run_local(async {
-        let world = World::start("unsafe", 20_000).await;
+        let fixture = Fixture::start("unsafe", 20_000).await;
         let second_reader = Engine::start("r2", "reader").await;
         let second_writer = Engine::start("w2", "writer").await;
-        world.discovery.add(&second_reader);
-        world.discovery.add(&second_writer);
+        fixture.discovery.add(&second_reader);
+        fixture.discovery.add(&second_writer);
         let engines = [
-            &world.reader,
-            &world.writer,
-            &world.embedders[0],
-            &world.embedders[1],
-            &world.rerankers[0],
-            &world.rerankers[1],
+            &fixture.reader,
+            &fixture.writer,
+            &fixture.embedders[0],
+            &fixture.embedders[1],
+            &fixture.rerankers[0],
+            &fixture.rerankers[1],
         ];
         for engine in engines.into_iter().chain([&second_reader, &second_writer]) {
             engine.mode.set(Mode::Slow(30));
         }
-        let (address, answers) = (world.daemon.address, Rc::<RefCell<Vec<_>>>::default());
+        let (address, answers) = (fixture.daemon.address, Rc::<RefCell<Vec<_>>>::default());
         let mut clients = Vec::new();
         for client in 0..9 {
             let answers = answers.clone();
@@ -100,8 +100,9 @@
             }));
         }
         wait_until("more than 18 answers have arrived", async || answers.borrow().len() > 18).await;
-        let draining_engines = [&world.reader, &world.writer, &world.embedders[0], &world.rerankers[0]];
-        let revisions = draining_engines.map(|engine| world.discovery.set_state(engine, "DRAINING"));
+        let draining_engines =
+            [&fixture.reader, &fixture.writer, &fixture.embedders[0], &fixture.rerankers[0]];
+        let revisions = draining_engines.map(|engine| fixture.discovery.set_state(engine, "DRAINING"));
         for client in clients {
             client.await.expect("the client task completes");
         }
@@ -115,7 +116,7 @@
             assert!(answer.status == 200 && complete, "{answer:?}");
         }
         for (engine, revision) in draining_engines.iter().zip(revisions) {
-            let announced_at = world.discovery.announced_at(revision);
+            let announced_at = fixture.discovery.announced_at(revision);
             let received = engine.received.borrow();
             let calls: Vec<_> = received.iter().filter(|request| request.method == "POST").collect();
             assert!(
@@ -126,7 +127,7 @@
         // Requests that must not be repeated ran once: each rerank call, and each chat request at the
         // writers.
         let mut runs = BTreeSet::new();
-        for engine in [&world.rerankers[0], &world.rerankers[1], &world.writer, &second_writer] {
+        for engine in [&fixture.rerankers[0], &fixture.rerankers[1], &fixture.writer, &second_writer] {
             for request in engine.received.borrow().iter().filter(|request| request.method == "POST") {
                 assert!(
                     runs.insert((request.headers["req-id"].clone(), request.path.clone())),
@@ -151,11 +152,11 @@
     #[case] runs: usize,
 ) {
     run_local(async {
-        let world = World::start(effect, 20_000).await;
+        let fixture = Fixture::start(effect, 20_000).await;
         // Each engine cuts off its first answer, so that the first two runs break on any engine.
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::TruncatesOnce));
-        let answer = rerank(world.daemon.address, "q", &[]).await;
-        assert_eq!((answer.status, world.rerank_calls()), (status, runs));
+        fixture.rerankers.iter().for_each(|e| e.mode.set(Mode::TruncatesOnce));
+        let answer = rerank(fixture.daemon.address, "q", &[]).await;
+        assert_eq!((answer.status, fixture.rerank_calls()), (status, runs));
         assert!(status != 200 || entries(&answer, "results") == 3);
         assert!(status == 200 || answer.json()["error"]["message"].is_string());
     })
@@ -167,9 +168,9 @@
 #[tokio::test]
 async fn answer_with_missing_entries_counts_as_failed() {
     run_local(async {
-        let world = World::start("unsafe", 20_000).await;
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::IncompleteList));
-        assert_eq!((rerank(world.daemon.address, "q", &[]).await.status, world.rerank_calls()), (502, 1));
+        let fixture = Fixture::start("unsafe", 20_000).await;
+        fixture.rerankers.iter().for_each(|e| e.mode.set(Mode::IncompleteList));
+        assert_eq!((rerank(fixture.daemon.address, "q", &[]).await.status, fixture.rerank_calls()), (502, 1));
     })
     .await;
 }
@@ -179,19 +180,19 @@
 #[tokio::test]
 async fn retry_with_the_same_key_joins_the_running_call() {
     run_local(async {
-        let world = World::start("unsafe", 20_000).await;
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(400)));
-        let (address, key) = (world.daemon.address, [("Idempotency-Key", "k1")]);
+        let fixture = Fixture::start("unsafe", 20_000).await;
+        fixture.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(400)));
+        let (address, key) = (fixture.daemon.address, [("Idempotency-Key", "k1")]);
         let abandoned = tokio::time::timeout(Duration::from_millis(150), rerank(address, "q", &key)).await;
         abandoned.expect_err("the first client gave up before the answer");
         let (second, third) = tokio::join!(rerank(address, "q", &key), rerank(address, "q", &key));
         for answer in [second, third, rerank(address, "q", &key).await] {
             assert_eq!((answer.status, entries(&answer, "results")), (200, 3));
         }
-        assert_eq!(world.rerank_calls(), 1);
+        assert_eq!(fixture.rerank_calls(), 1);
         assert_eq!(rerank(address, "another", &key).await.status, 422, "the key was used for another call");
         assert_eq!(rerank(address, "q", &[]).await.status, 200);
-        assert_eq!(world.rerank_calls(), 2, "calls without a key run separately");
+        assert_eq!(fixture.rerank_calls(), 2, "calls without a key run separately");
     })
     .await;
 }
@@ -211,11 +212,11 @@
     #[case] status: u16,
 ) {
     run_local(async {
-        let world = World::start("safe", 20_000).await;
-        let answer = send_request(world.daemon.address, "POST", path, &[], &body.to_string()).await;
+        let fixture = Fixture::start("safe", 20_000).await;
+        let answer = send_request(fixture.daemon.address, "POST", path, &[], &body.to_string()).await;
         assert_eq!(answer.status, status);
         assert!(answer.json()["error"]["type"] == "invalid_request_error");
-        let calls: usize = world.embedders.iter().chain(&world.rerankers).map(|e| e.count("/v1/")).sum();
+        let calls: usize = fixture.embedders.iter().chain(&fixture.rerankers).map(|e| e.count("/v1/")).sum();
         assert_eq!(calls, 0);
     })
     .await;
@@ -233,10 +234,10 @@
     #[case] status: u16,
 ) {
     run_local(async {
-        let world = World::start(effect, 1000).await;
-        world.rerankers.iter().for_each(|e| e.mode.set(mode));
+        let fixture = Fixture::start(effect, 1000).await;
+        fixture.rerankers.iter().for_each(|e| e.mode.set(mode));
         let start = Instant::now();
-        let answer = rerank(world.daemon.address, "q", &[]).await;
+        let answer = rerank(fixture.daemon.address, "q", &[]).await;
         assert_eq!(answer.status, status, "{answer:?}");
         assert_eq!(answer.head.contains("retry-after"), status == 429);
         assert!(start.elapsed() < Duration::from_secs(5));
@@ -249,14 +250,14 @@
 #[tokio::test]
 async fn rejected_calls_do_not_shorten_the_estimate_for_other_calls() {
     run_local(async {
-        let world = World::start("safe", 20_000).await;
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::RejectsAsInvalid));
+        let fixture = Fixture::start("safe", 20_000).await;
+        fixture.rerankers.iter().for_each(|e| e.mode.set(Mode::RejectsAsInvalid));
         for _ in 0..12 {
-            assert_eq!(rerank(world.daemon.address, "q", &[]).await.status, 400);
+            assert_eq!(rerank(fixture.daemon.address, "q", &[]).await.status, 400);
         }
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(1500)));
-        assert_eq!(rerank(world.daemon.address, "q", &[]).await.status, 200);
-        assert_eq!(world.rerank_calls(), 12 + 1);
+        fixture.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(1500)));
+        assert_eq!(rerank(fixture.daemon.address, "q", &[]).await.status, 200);
+        assert_eq!(fixture.rerank_calls(), 12 + 1);
     })
     .await;
 }
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -53,14 +53,14 @@
     pub body: Vec<u8>,
 }
 
-/// Reads one message from a connection: the words of its first line, its headers and its body.
+/// Reads one request from a connection: the method and path of its first line, its headers and its body.
 pub async fn read_message(stream: &mut (impl AsyncRead + Unpin)) -> Option<ReceivedRequest> {
-    let mut text = Vec::new();
-    while !text.ends_with(b"\r\n\r\n") {
-        text.push(stream.read_u8().await.ok()?);
+    let mut head_bytes = Vec::new();
+    while !head_bytes.ends_with(b"\r\n\r\n") {
+        head_bytes.push(stream.read_u8().await.ok()?);
     }
-    let text = String::from_utf8(text).expect("a head in valid UTF-8");
-    let mut lines = text.split("\r\n");
+    let head = String::from_utf8(head_bytes).expect("a head in valid UTF-8");
+    let mut lines = head.split("\r\n");
     let first_line = lines.next()?;
     let mut words = first_line.split(' ').map(str::to_owned);
     let header =
@@ -380,7 +380,7 @@
     pub address: SocketAddr,
     pub management: SocketAddr,
     pub stop: Rc<Notify>,
-    pub ended: tokio::task::JoinHandle<()>,
+    pub task: tokio::task::JoinHandle<()>,
     config: Value,
     file: tempfile::NamedTempFile,
     reload_sender: mpsc::Sender<()>,
@@ -457,13 +457,13 @@
         let operation = Operation { management: Some(management_listener), shared };
         let stop = Rc::new(Notify::new());
         let stop_requested = stop.clone();
-        let ended = spawn_local(async move {
+        let task = spawn_local(async move {
             let stop = async move { stop_requested.notified().await };
             meadowlug::daemon::run(config, inference, Some(reload), listener, operation, stop)
                 .await
                 .expect("the daemon ends without an error");
         });
-        Self { address, management, stop, ended, config: config_json, file, reload_sender }
+        Self { address, management, stop, task, config: config_json, file, reload_sender }
     }
 
     /// Makes the daemon reload a configuration with another discovery address.
--- a/tests/management.rs
+++ b/tests/management.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-struct World {
+struct Fixture {
     readers: [Engine; 2],
     #[allow(dead_code)] // kept alive as long as the daemon
     writer: Engine,
@@ -15,7 +15,7 @@
     daemon: Daemon,
 }
 
-impl World {
+impl Fixture {
     async fn start() -> Self {
         let readers = [Engine::start("r1", "reader").await, Engine::start("r2", "reader").await];
         let writer = Engine::start("w1", "writer").await;
@@ -46,35 +46,35 @@
 #[tokio::test]
 async fn withheld_engine_gets_no_request_until_it_is_put_back() {
     run_local(async {
-        let world = World::start().await;
-        world.serve((0..8).map(|n| format!("a{n}"))).await;
-        assert!(world.readers[0].count("/v1/") > 0);
-        assert_eq!(world.operator_call("POST", "/ops/engines/down?host=r1").await.status, 200);
+        let fixture = Fixture::start().await;
+        fixture.serve((0..8).map(|n| format!("a{n}"))).await;
+        assert!(fixture.readers[0].count("/v1/") > 0);
+        assert_eq!(fixture.operator_call("POST", "/ops/engines/down?host=r1").await.status, 200);
         assert_eq!(
-            world.operator_call("POST", "/ops/engines/down?host=r1").await.status,
+            fixture.operator_call("POST", "/ops/engines/down?host=r1").await.status,
             200,
             "a repeated command succeeds"
         );
-        let before = world.readers[0].count("/v1/");
-        world.serve((0..8).map(|n| format!("b{n}"))).await;
-        world.discovery.set_state(&world.readers[0], "DRAINING");
-        world.discovery.set_state(&world.readers[0], "SERVING");
+        let count_before = fixture.readers[0].count("/v1/");
+        fixture.serve((0..8).map(|n| format!("b{n}"))).await;
+        fixture.discovery.set_state(&fixture.readers[0], "DRAINING");
+        fixture.discovery.set_state(&fixture.readers[0], "SERVING");
         wait_until("the gateway skips the engine", async || {
-            world.metric("edge_balancer_skipped_engines").await == 1
+            fixture.metric("edge_balancer_skipped_engines").await == 1
         })
         .await;
-        world.serve((0..8).map(|n| format!("c{n}"))).await;
-        assert_eq!(world.readers[0].count("/v1/"), before);
-        assert_eq!(world.operator_call("POST", "/ops/engines/up?host=r1").await.status, 200);
+        fixture.serve((0..8).map(|n| format!("c{n}"))).await;
+        assert_eq!(fixture.readers[0].count("/v1/"), count_before);
+        assert_eq!(fixture.operator_call("POST", "/ops/engines/up?host=r1").await.status, 200);
         wait_until("the engine is used again", async || {
-            let id = format!("d{}", world.readers[1].count("/v1/"));
-            world.serve(std::iter::once(id)).await;
-            world.readers[0].count("/v1/") > before
+            let id = format!("d{}", fixture.readers[1].count("/v1/"));
+            fixture.serve(std::iter::once(id)).await;
+            fixture.readers[0].count("/v1/") > count_before
         })
         .await;
-        assert_eq!(world.operator_call("POST", "/ops/engines/down?host=never").await.status, 404);
-        assert_eq!(world.operator_call("POST", "/ops/engines/up").await.status, 400);
-        assert_eq!(world.operator_call("GET", "/ops/engines/up?host=r1").await.status, 405);
+        assert_eq!(fixture.operator_call("POST", "/ops/engines/down?host=never").await.status, 404);
+        assert_eq!(fixture.operator_call("POST", "/ops/engines/up").await.status, 400);
+        assert_eq!(fixture.operator_call("GET", "/ops/engines/up?host=r1").await.status, 405);
     })
     .await;
 }
@@ -92,13 +92,13 @@
 #[tokio::test]
 async fn drained_gateway_is_not_ready_and_closes_connections_until_the_drain_ends() {
     run_local(async {
-        let world = World::start().await;
-        let ready = async || send_request(world.daemon.address, "GET", "/ready", &[], "").await.status;
-        let mut idle = keep_alive_connection(world.daemon.address).await;
-        assert_eq!(world.operator_call("POST", "/ops/drain/start").await.status, 200);
+        let fixture = Fixture::start().await;
+        let ready = async || send_request(fixture.daemon.address, "GET", "/ready", &[], "").await.status;
+        let mut idle = keep_alive_connection(fixture.daemon.address).await;
+        assert_eq!(fixture.operator_call("POST", "/ops/drain/start").await.status, 200);
         assert_eq!(ready().await, 503);
         assert_eq!(
-            chat(world.daemon.address, "a", "lookup", 9000).await.status,
+            chat(fixture.daemon.address, "a", "lookup", 9000).await.status,
             200,
             "a draining gateway still serves requests"
         );
@@ -108,14 +108,14 @@
             start.elapsed() < Duration::from_secs(2),
             "the idle connection stayed open for 2 s or more; the limit is 4 s"
         );
-        let mut late = keep_alive_connection(world.daemon.address).await;
+        let mut late = keep_alive_connection(fixture.daemon.address).await;
         let _ = late.read_to_end(&mut Vec::new()).await;
-        assert!(!world.daemon.ended.is_finished());
-        assert_eq!(world.operator_call("POST", "/ops/drain/stop").await.status, 200);
+        assert!(!fixture.daemon.task.is_finished());
+        assert_eq!(fixture.operator_call("POST", "/ops/drain/stop").await.status, 200);
         assert_eq!(ready().await, 200);
-        let mut idle = keep_alive_connection(world.daemon.address).await;
-        let mut rest = Vec::new();
-        let closed = tokio::time::timeout(Duration::from_millis(800), idle.read_to_end(&mut rest)).await;
+        let mut idle = keep_alive_connection(fixture.daemon.address).await;
+        let mut received = Vec::new();
+        let closed = tokio::time::timeout(Duration::from_millis(800), idle.read_to_end(&mut received)).await;
         assert!(closed.is_err(), "the connection was closed after the drain had ended");
     })
     .await;
@@ -125,12 +125,12 @@
 #[tokio::test]
 async fn metrics_count_requests_by_class_and_outcome() {
     run_local(async {
-        let world = World::start().await;
-        world.serve((0..3).map(|n| format!("a{n}"))).await;
-        world.writer.mode.set(Mode::TruncatesOnce);
-        assert!(!chat(world.daemon.address, "b", "correction", 9000).await.complete);
+        let fixture = Fixture::start().await;
+        fixture.serve((0..3).map(|n| format!("a{n}"))).await;
+        fixture.writer.mode.set(Mode::TruncatesOnce);
+        assert!(!chat(fixture.daemon.address, "b", "correction", 9000).await.complete);
         let handled = async |class: &str, outcome: &str| {
-            world
+            fixture
                 .metric(&format!("edge_balancer_handled{{category=\"{class}\",outcome=\"{outcome}\"}}"))
                 .await
         };
@@ -141,17 +141,17 @@
         assert_eq!(handled("lookup", "passed").await, 3);
         assert_eq!(handled("lookup", "dropped").await, 0);
         assert_eq!(
-            world.metric("edge_balancer_upstream_tries").await,
+            fixture.metric("edge_balancer_upstream_tries").await,
             8,
             "each request is sent once to a reader and once to a writer"
         );
-        assert_eq!(world.metric("edge_balancer_known_engines").await, 3);
-        assert_eq!(world.metric("edge_balancer_in_progress").await, 0);
-        world.readers.iter().for_each(|reader| reader.mode.set(Mode::Silent));
-        let address = world.daemon.address;
+        assert_eq!(fixture.metric("edge_balancer_known_engines").await, 3);
+        assert_eq!(fixture.metric("edge_balancer_in_progress").await, 0);
+        fixture.readers.iter().for_each(|reader| reader.mode.set(Mode::Silent));
+        let address = fixture.daemon.address;
         tokio::task::spawn_local(async move { chat(address, "c", "lookup", 9000).await });
         wait_until("the request is counted as in progress", async || {
-            world.metric("edge_balancer_in_progress").await == 1
+            fixture.metric("edge_balancer_in_progress").await == 1
         })
         .await;
     })
@@ -167,10 +167,10 @@
 #[tokio::test]
 async fn silent_callers_do_not_block_operators(#[case] partial_request_every: usize, #[case] after_ms: u64) {
     run_local(async {
-        let world = World::start().await;
+        let fixture = Fixture::start().await;
         let mut silent_callers = Vec::new();
         for n in 0..40 {
-            let mut stream = TcpStream::connect(world.daemon.management)
+            let mut stream = TcpStream::connect(fixture.daemon.management)
                 .await
                 .expect("the management address accepts connections");
             if n % partial_request_every == 0 {
@@ -180,7 +180,7 @@
         }
         tokio::time::sleep(Duration::from_millis(after_ms)).await;
         for _ in 0..8 {
-            assert_eq!(world.operator_call("GET", "/ops/readiness").await.status, 200);
+            assert_eq!(fixture.operator_call("GET", "/ops/readiness").await.status, 200);
         }
         for mut stream in silent_callers {
             // The connection may be closed with or without a response.
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -72,7 +72,7 @@
         assert_eq!(response.await.expect("an answer").status, 504);
         // The process is killed 3.7 s after the stop signal.
         assert!(stopped_at.elapsed() < Duration::from_millis(3650), "{:?}", stopped_at.elapsed());
-        tokio::time::timeout(Duration::from_secs(5), daemon.ended)
+        tokio::time::timeout(Duration::from_secs(5), daemon.task)
             .await
             .expect("the daemon ends")
             .expect("no panic");
@@ -111,7 +111,7 @@
         let shared_socket = listener.into_std().expect("a socket");
         let listener =
             TcpListener::from_std(shared_socket.try_clone().expect("a duplicate")).expect("a socket");
-        let waiting: Vec<_> = (0..24)
+        let waiting_streams: Vec<_> = (0..24)
             .map(|n| {
                 let mut stream =
                     std::net::TcpStream::connect(address).expect("the gateway accepts connections");
@@ -119,26 +119,29 @@
                 stream
             })
             .collect();
-        let second = Duration::from_secs(1);
+        let one_second = Duration::from_secs(1);
         let limits = ServeLimits {
             connections: 64,
             spare: 0,
             buffer: 8 << 10,
             ahead: 8 << 10,
-            stall: second,
-            head: second,
-            idle: second,
-            idle_least: second,
+            stall: one_second,
+            head: one_second,
+            idle: one_second,
+            idle_least: one_second,
         };
         let (_phase, phases) = watch::channel(phase);
         meadowlug::net::serve(listener, Rc::new(ImmediateFront), limits, phases).await;
         // No other process serves the socket in this test: the connections left in its backlog are reset with
         // the socket.
         drop(shared_socket);
-        for mut stream in waiting {
+        for mut stream in waiting_streams {
             let mut answer = String::new();
-            let read = stream.read_to_string(&mut answer);
-            assert!(answer.ends_with(body) && read.is_err() == body.is_empty(), "{read:?} {answer}");
+            let read_result = stream.read_to_string(&mut answer);
+            assert!(
+                answer.ends_with(body) && read_result.is_err() == body.is_empty(),
+                "{read_result:?} {answer}"
+            );
         }
     })
     .await;
@@ -151,10 +154,10 @@
     run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
-        let mut other = Daemon::settings();
-        other["categories"][0]["effect"] = json!("unsafe");
-        other["categories"][0]["hardLimitMs"] = json!(700);
-        other["projects"] = json!([{"name": "shop", "quotaPerS": 100000.0}]);
+        let mut other_settings = Daemon::settings();
+        other_settings["categories"][0]["effect"] = json!("unsafe");
+        other_settings["categories"][0]["hardLimitMs"] = json!(700);
+        other_settings["projects"] = json!([{"name": "shop", "quotaPerS": 100000.0}]);
         let outcomes = async |settings: &serde_json::Value, tenant: &str| {
             let (known, limits) = (json!(null), json!({}));
             let daemon =
@@ -179,8 +182,8 @@
             )
         };
         assert_eq!(outcomes(&Daemon::settings(), "desk").await, (200, None, false));
-        assert_eq!(outcomes(&other, "shop").await, (502, Some(504), true));
-        assert_eq!(outcomes(&other, "desk").await.0, 400);
+        assert_eq!(outcomes(&other_settings, "shop").await, (502, Some(504), true));
+        assert_eq!(outcomes(&other_settings, "desk").await.0, 400);
         assert_eq!(outcomes(&Daemon::settings(), "desk").await, (200, None, false));
     })
     .await;
@@ -211,9 +214,9 @@
         let received = reader.received.borrow();
         let attempts = received.iter().filter(|request| request.path.starts_with("/v1/"));
         let deadlines: Vec<_> = attempts.map(|request| request.headers["req-deadline"].clone()).collect();
-        let last =
+        let last_deadline_ms =
             deadlines.last().expect("a deadline").trim_end_matches('m').parse::<u64>().expect("milliseconds");
-        assert!(last <= 600, "{deadlines:?}");
+        assert!(last_deadline_ms <= 600, "{deadlines:?}");
     })
     .await;
 }
@@ -271,7 +274,7 @@
             "{answer}"
         );
         assert_eq!(reader.count("/v1/"), 1 + usize::from(completes && resume));
-        tokio::time::timeout(Duration::from_secs(3), daemon.ended)
+        tokio::time::timeout(Duration::from_secs(3), daemon.task)
             .await
             .expect("the daemon ends")
             .expect("no panic");
@@ -297,7 +300,7 @@
         write.write_all(&text.as_bytes()[..bytes_before_stop]).await.expect("written");
         daemon.stop.notify_one();
         let stopped_at = Instant::now();
-        let trickle = spawn_local(async move {
+        let slow_write = spawn_local(async move {
             for byte in &text.as_bytes()[bytes_before_stop..text.len() - 1] {
                 tokio::time::sleep(Duration::from_millis(300)).await;
                 if write.write_all(&[*byte]).await.is_err() {
@@ -307,11 +310,11 @@
             std::future::pending::<()>().await;
         });
         let mut answer = String::new();
-        let ended =
+        let read_result =
             tokio::time::timeout(Duration::from_millis(3_650), read.read_to_string(&mut answer)).await;
-        assert!(ended.is_ok(), "the connection is still open after {:?}", stopped_at.elapsed());
+        assert!(read_result.is_ok(), "the connection is still open after {:?}", stopped_at.elapsed());
         assert!(answer.starts_with("HTTP/1.1 408") || answer.starts_with("HTTP/1.1 503"), "{answer}");
-        trickle.abort();
+        slow_write.abort();
     })
     .await;
 }
@@ -331,7 +334,7 @@
         daemon.stop.notify_one();
         let answer = response.await.expect("an answer");
         assert!(matches!(answer.status, 429 | 504), "{answer:?}");
-        tokio::time::timeout(Duration::from_secs(5), daemon.ended)
+        tokio::time::timeout(Duration::from_secs(5), daemon.task)
             .await
             .expect("the daemon ends")
             .expect("no panic");
@@ -366,7 +369,7 @@
         }
         daemon.stop.notify_one();
         assert_eq!(response.await.expect("an answer").status, 200);
-        tokio::time::timeout(Duration::from_secs(5), daemon.ended)
+        tokio::time::timeout(Duration::from_secs(5), daemon.task)
             .await
             .expect("the daemon ends")
             .expect("no panic");
@@ -385,13 +388,15 @@
     run_local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let (r3, writer) = (Engine::start("r3", "reader").await, Engine::start("w1", "writer").await);
-        let listed = |engine: &Engine| vec![engine.target("SERVING"), writer.target("SERVING")];
-        let old = Discovery::with_revision(1, listed(&r1)).await;
-        let first = Discovery::with_revision(2, listed(&r2)).await;
-        let last = Discovery::with_revision(3, listed(&r3)).await;
-        let daemon = Daemon::start(&old, None).await;
-        daemon.move_discovery(if first_answers { first.address } else { closed_port().await }).await;
-        daemon.move_discovery(last.address).await;
+        let targets_with = |engine: &Engine| vec![engine.target("SERVING"), writer.target("SERVING")];
+        let old_discovery = Discovery::with_revision(1, targets_with(&r1)).await;
+        let first_discovery = Discovery::with_revision(2, targets_with(&r2)).await;
+        let last_discovery = Discovery::with_revision(3, targets_with(&r3)).await;
+        let daemon = Daemon::start(&old_discovery, None).await;
+        daemon
+            .move_discovery(if first_answers { first_discovery.address } else { closed_port().await })
+            .await;
+        daemon.move_discovery(last_discovery.address).await;
         let mut n = 0;
         let uses_last_address = async || {
             n += 1;
@@ -410,7 +415,7 @@
 }
 
 /// Starts a writer that closes each connection immediately, or after the first bytes of a request.
-async fn dying_writer(at_once: bool) -> SocketAddr {
+async fn closing_writer(at_once: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     spawn_local(async move {
@@ -433,12 +438,12 @@
 ) {
     run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
-        let mut dying = writer.target("SERVING");
-        dying["uid"] = json!("w0");
-        dying["endpoint"] = json!(dying_writer(at_once).await.to_string());
-        let listed = vec![reader.target("SERVING"), writer.target("SERVING"), dying];
-        let daemon = Daemon::start(&Discovery::with_revision(1, listed).await, None).await;
-        let mut failed = 0;
+        let mut closing_target = writer.target("SERVING");
+        closing_target["uid"] = json!("w0");
+        closing_target["endpoint"] = json!(closing_writer(at_once).await.to_string());
+        let targets = vec![reader.target("SERVING"), writer.target("SERVING"), closing_target];
+        let daemon = Daemon::start(&Discovery::with_revision(1, targets).await, None).await;
+        let mut failed_count = 0;
         for n in 0..6 {
             let attempts_before = writer.count("/v1/");
             let answer = chat(daemon.address, &format!("a{n}"), class.0, 9000).await;
@@ -446,9 +451,9 @@
             // If the last byte was provably not written, the attempt never ran and the request goes to the
             // other writer.
             assert!(answer.status == 200 && ran == 1 || answer.status == class.1 && ran == 0, "{answer:?}");
-            failed += usize::from(answer.status == 502);
+            failed_count += usize::from(answer.status == 502);
         }
-        assert!(class.1 == 502 || failed == 0);
+        assert!(class.1 == 502 || failed_count == 0);
     })
     .await;
 }
@@ -493,16 +498,16 @@
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let long = Duration::from_secs(10);
+        let long_timeout = Duration::from_secs(10);
         let limits = ServeLimits {
             connections: IDLE_CONNECTIONS,
             spare: IDLE_CONNECTIONS,
             buffer: 8 << 10,
             ahead: 64 << 10,
-            stall: long,
-            head: long,
-            idle: long,
-            idle_least: long,
+            stall: long_timeout,
+            head: long_timeout,
+            idle: long_timeout,
+            idle_least: long_timeout,
         };
         let front = Rc::new(SlowFront::default());
         let (_phase, phases) = watch::channel(Phase::Serving);
@@ -529,8 +534,9 @@
             spawn_local(async move {
                 let mut client = TcpStream::from_std(client).expect("a socket");
                 let mut answer = vec![0; 4 << 10];
-                let read = tokio::time::timeout(Duration::from_secs(3), client.read(&mut answer)).await;
-                let length = read.expect("the gateway answers or closes the connection").unwrap_or(0);
+                let read_result =
+                    tokio::time::timeout(Duration::from_secs(3), client.read(&mut answer)).await;
+                let length = read_result.expect("the gateway answers or closes the connection").unwrap_or(0);
                 answer.truncate(length);
                 answer
             })
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -13,15 +13,15 @@
     run_local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let writer = Engine::start("w1", "writer").await;
-        let old = Discovery::start(&[&r1, &writer]).await;
-        let daemon = Daemon::start(&old, None).await;
+        let old_discovery = Discovery::start(&[&r1, &writer]).await;
+        let daemon = Daemon::start(&old_discovery, None).await;
         let chat_status = async |id: &str| chat(daemon.address, id, "lookup", 9000).await.status;
 
         // No process listens at the new address: the current list and the old watch stay in use.
         daemon.move_discovery(closed_port().await).await;
         assert_eq!(chat_status("a1").await, 200);
-        old.add(&r2);
-        old.set_state(&r1, "DRAINING");
+        old_discovery.add(&r2);
+        old_discovery.set_state(&r1, "DRAINING");
         let mut n = 0;
         let sent_to_second = async || {
             n += 1;
@@ -36,15 +36,16 @@
 
         // The new server lists an engine that the old one never listed, and not all of the old ones.
         let r3 = Engine::start("r3", "reader").await;
-        let new = Discovery::with_revision(9, vec![r3.target("SERVING"), writer.target("SERVING")]).await;
-        daemon.move_discovery(new.address).await;
+        let new_discovery =
+            Discovery::with_revision(9, vec![r3.target("SERVING"), writer.target("SERVING")]).await;
+        daemon.move_discovery(new_discovery.address).await;
         let sent_to_third = async || {
             n += 1;
             assert_eq!(chat_status(&format!("d{n}")).await, 200);
             r3.count("/v1/") > 0
         };
         wait_until("the new watch is followed", sent_to_third).await;
-        old.set_state(&r2, "SERVING");
+        old_discovery.set_state(&r2, "SERVING");
         for n in 0..8 {
             assert_eq!(chat_status(&format!("e{n}")).await, 200);
         }
@@ -54,35 +55,35 @@
 }
 
 // The first response of a new address was accepted as a full list whatever it held: an agent that had just
-// started, with no list or an old one, took every engine out of use and brought drained engines back.
+// started, with no list or an old one, took every engine out of use and put drained engines back into use.
 #[tokio::test]
 async fn address_with_an_older_revision_removes_no_engine_and_brings_none_back() {
     run_local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let (r3, writer) = (Engine::start("r3", "reader").await, Engine::start("w1", "writer").await);
         let serving = |engines: &[&Engine]| engines.iter().map(|e| e.target("SERVING")).collect::<Vec<_>>();
-        let old = Discovery::with_revision(40, serving(&[&r1, &r2, &writer])).await;
-        let daemon = Daemon::start(&old, None).await;
+        let old_discovery = Discovery::with_revision(40, serving(&[&r1, &r2, &writer])).await;
+        let daemon = Daemon::start(&old_discovery, None).await;
         let mut n = 0;
         let mut send_chat = async || {
             n += 1;
             assert_eq!(chat(daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
         };
-        let drain_revision = old.set_state(&r1, "DRAINING");
-        wait_until("the drain is announced", async || old.has_announced(drain_revision)).await;
+        let drain_revision = old_discovery.set_state(&r1, "DRAINING");
+        wait_until("the drain is announced", async || old_discovery.has_announced(drain_revision)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         let count_before = r1.count("/v1/");
 
         // An empty list, then a list from before the drain that lacks an engine, then one with a drain.
-        let empty = Discovery::with_revision(1, Vec::new()).await;
-        daemon.move_discovery(empty.address).await;
-        wait_until("the empty list is sent", async || empty.has_announced(1)).await;
+        let empty_discovery = Discovery::with_revision(1, Vec::new()).await;
+        daemon.move_discovery(empty_discovery.address).await;
+        wait_until("the empty list is sent", async || empty_discovery.has_announced(1)).await;
         for _ in 0..8 {
             send_chat().await;
         }
-        let lagging = Discovery::with_revision(30, serving(&[&r1, &r3, &writer])).await;
-        daemon.move_discovery(lagging.address).await;
-        wait_until("the older list is sent", async || lagging.has_announced(30)).await;
+        let lagging_discovery = Discovery::with_revision(30, serving(&[&r1, &r3, &writer])).await;
+        daemon.move_discovery(lagging_discovery.address).await;
+        wait_until("the older list is sent", async || lagging_discovery.has_announced(30)).await;
         for _ in 0..8 {
             send_chat().await;
         }
@@ -95,9 +96,9 @@
         // The new address catches up: its changes are accepted
         // from then on, and the old address is no longer followed.
         for _ in 0..10 {
-            lagging.set_state(&r1, "DRAINING");
+            lagging_discovery.set_state(&r1, "DRAINING");
         }
-        lagging.add(&r3);
+        lagging_discovery.add(&r3);
         let mut caught_up = async || {
             send_chat().await;
             r3.count("/v1/") > 0
@@ -114,10 +115,12 @@
     run_local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let writer = Engine::start("w1", "writer").await;
-        let old = Discovery::with_revision(40, vec![r1.target("SERVING"), writer.target("SERVING")]).await;
-        let daemon = Daemon::start(&old, None).await;
-        let new = Discovery::with_revision(3, vec![r2.target("SERVING"), writer.target("SERVING")]).await;
-        daemon.move_discovery(new.address).await;
+        let old_discovery =
+            Discovery::with_revision(40, vec![r1.target("SERVING"), writer.target("SERVING")]).await;
+        let daemon = Daemon::start(&old_discovery, None).await;
+        let new_discovery =
+            Discovery::with_revision(3, vec![r2.target("SERVING"), writer.target("SERVING")]).await;
+        daemon.move_discovery(new_discovery.address).await;
         let mut n = 0;
         let mut followed = async || {
             n += 1;
@@ -139,8 +142,8 @@
 async fn reloads_in_a_row_and_a_shutdown_right_after_lose_nothing(#[case] reloads: &[&str]) {
     run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
-        let old = Discovery::start(&[&reader, &writer]).await;
-        let daemon = Daemon::start(&old, None).await;
+        let old_discovery = Discovery::start(&[&reader, &writer]).await;
+        let daemon = Daemon::start(&old_discovery, None).await;
         let unreachable = closed_port().await;
         let address = daemon.address;
         let ids = (0..8).map(|n| format!("a{n}"));
@@ -152,7 +155,7 @@
         for reload in reloads {
             match *reload {
                 "away" => daemon.move_discovery(unreachable).await,
-                "back" => daemon.move_discovery(old.address).await,
+                "back" => daemon.move_discovery(old_discovery.address).await,
                 _ => daemon.reload(r#"{"listen":"#).await,
             }
         }
@@ -160,7 +163,7 @@
         for answer in responses {
             assert_eq!(answer.await.expect("the client task ends"), 200);
         }
-        tokio::time::timeout(Duration::from_secs(15), daemon.ended)
+        tokio::time::timeout(Duration::from_secs(15), daemon.task)
             .await
             .expect("the daemon ends within the time limit")
             .expect("the daemon ends without an error");
@@ -199,8 +202,10 @@
             assert!((400..600).contains(&answer.status), "{}", answer.status);
         }
         daemon.stop.notify_one();
-        let ended = tokio::time::timeout(Duration::from_secs(15), daemon.ended).await;
-        ended.expect("the daemon ends within the time limit").expect("the daemon ends without an error");
+        let task_result = tokio::time::timeout(Duration::from_secs(15), daemon.task).await;
+        task_result
+            .expect("the daemon ends within the time limit")
+            .expect("the daemon ends without an error");
     })
     .await;
 }
