--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -223,29 +223,32 @@
     panic!("no request goes to writer {writer}");
 }
 
-// Lost machines came back cold, but the roster reported their restart seconds later. Each gateway sent its
+// Lost machines restarted cold, but the roster reported their restart seconds later. Each gateway sent its
 // usual part as soon as a machine responded, and one machine after the other collapsed under the load and did
 // not recover.
 #[rstest]
 #[case::no_connection(Status::NoConnection)]
 #[case::reset(Status::Reset)]
-fn server_that_answers_after_a_break_is_treated_as_restarted(#[case] lost: Status) {
+fn server_that_answers_after_a_break_is_treated_as_restarted(#[case] break_status: Status) {
     let mut harness = router_with_five_writers();
-    let usual = requests_served_at(&mut harness, 11, "usual");
-    assert!(usual >= 10, "{usual} of 80 requests before the break");
+    let usual_count = requests_served_at(&mut harness, 11, "usual");
+    assert!(usual_count >= 10, "{usual_count} of 80 requests before the break");
     let broken = first_request_at(&mut harness, 11, "broken");
     harness.now += 250_000;
-    harness.end_attempt(&broken, 1, lost);
+    harness.end_attempt(&broken, 1, break_status);
     harness.advance(SECOND);
     let trial = first_request_at(&mut harness, 11, "trial");
     harness.first_token(&trial, 1);
     harness.end_attempt_with_report(&trial, 1, Status::Served, 0.0, Load::default());
-    let suspected = requests_served_at(&mut harness, 11, "suspected");
-    assert!(suspected <= usual / 2, "{suspected} of 80 requests after the break, {usual} before");
+    let suspected_count = requests_served_at(&mut harness, 11, "suspected");
+    assert!(
+        suspected_count <= usual_count / 2,
+        "{suspected_count} of 80 requests after the break, {usual_count} before"
+    );
     // By now the roster would have reported a restart.
     harness.advance(7 * SECOND);
-    let recovered = requests_served_at(&mut harness, 11, "after");
-    assert!(recovered >= 10, "{recovered} of 80 requests after the recovery");
+    let recovered_count = requests_served_at(&mut harness, 11, "after");
+    assert!(recovered_count >= 10, "{recovered_count} of 80 requests after the recovery");
 }
 
 // The open connections of an unreachable machine stay open. A response over one of them proves that the
@@ -262,8 +265,8 @@
     harness.handle(&[Event::RunningSince { server: ServerId(11), since: connected_since }]);
     harness.first_token(&trial, 1);
     harness.end_attempt_with_report(&trial, 1, Status::Served, 0.0, Load::default());
-    let recovered = requests_served_at(&mut harness, 11, "after");
-    assert!(recovered >= 10, "{recovered} of 80 requests after the recovery");
+    let recovered_count = requests_served_at(&mut harness, 11, "after");
+    assert!(recovered_count >= 10, "{recovered_count} of 80 requests after the recovery");
 }
 
 // A lost connection does not indicate a restart if the process still answers requests that it got before.
@@ -283,8 +286,8 @@
     }
     assert_ne!(unaffected, broken);
     harness.advance(SECOND);
-    let recovered = requests_served_at(&mut harness, 11, "after");
-    assert!(recovered >= 10, "{recovered} of 80 requests after the recovery");
+    let recovered_count = requests_served_at(&mut harness, 11, "after");
+    assert!(recovered_count >= 10, "{recovered_count} of 80 requests after the recovery");
 }
 
 // All writers were lost but one, which was cold and, for most routers, in another zone. The traffic of all
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -207,7 +207,7 @@
         tokio::time::sleep(Duration::from_millis(700)).await;
         assert_eq!(*fake.probed_endpoints.borrow(), ["w1"]);
         assert_eq!(
-            fake.written_endpoints.borrow().iter().filter(|to| *to == "r1").count(),
+            fake.written_endpoints.borrow().iter().filter(|endpoint| *endpoint == "r1").count(),
             1 + usize::from(reads_prompt)
         );
     })
@@ -577,26 +577,26 @@
             FakeEngines { connects_at_once: Rc::new(Cell::new(true)), hangs: true, ..FakeEngines::default() };
         let gateway = start_gateway(&fake);
         let started_at = tokio::time::Instant::now();
-        let after = |ms| started_at + Duration::from_millis(ms);
-        let hand_off = hand_off_ms.map(|from| (after(from), Duration::ZERO));
+        let after_start = |ms| started_at + Duration::from_millis(ms);
+        let hand_off = hand_off_ms.map(|from_ms| (after_start(from_ms), Duration::ZERO));
         let Answer::Events(mut relay) =
             gateway.submit(submission("a")).expect("the request is accepted").answer().await
         else {
             panic!("the request was not served")
         };
-        let mut next = async || std::future::poll_fn(|context| relay.poll_chunk(context)).await;
-        assert!(matches!((next().await, next().await), (Some(Ok(_)), Some(Ok(_)))));
+        let mut next_event = async || std::future::poll_fn(|context| relay.poll_chunk(context)).await;
+        assert!(matches!((next_event().await, next_event().await), (Some(Ok(_)), Some(Ok(_)))));
         let delayed_shutdown = async {
             tokio::time::sleep(Duration::from_millis(300)).await;
             gateway.shut_down(ShutdownSchedule {
                 accept_until: None,
-                answer_deadline: after(3_000),
+                answer_deadline: after_start(3_000),
                 hand_off,
             });
         };
-        let (ended, ()) =
-            tokio::join!(tokio::time::timeout(Duration::from_secs(3), next()), delayed_shutdown);
-        assert!(matches!(ended, Ok(Some(Err(_)))), "{ended:?}");
+        let (last_event, ()) =
+            tokio::join!(tokio::time::timeout(Duration::from_secs(3), next_event()), delayed_shutdown);
+        assert!(matches!(last_event, Ok(Some(Err(_)))), "{last_event:?}");
         let late_ms = started_at.elapsed().as_millis() as u64 - due_ms;
         assert!(late_ms <= 110, "the answer ended {late_ms} ms late");
     })
@@ -615,10 +615,14 @@
         let fake = FakeEngines { connects_at_once: Rc::new(Cell::new(true)), ..FakeEngines::default() };
         let gateway = start_gateway(&fake);
         let started_at = tokio::time::Instant::now();
-        let after = |ms| started_at + Duration::from_millis(ms);
+        let after_start = |ms| started_at + Duration::from_millis(ms);
         let answer = gateway.submit(submission("a")).expect("the request is accepted").answer().await;
-        let hand_off = hand_off_ms.map(|from| (after(from), Duration::from_millis(100)));
-        gateway.shut_down(ShutdownSchedule { accept_until: None, answer_deadline: after(2_000), hand_off });
+        let hand_off = hand_off_ms.map(|from_ms| (after_start(from_ms), Duration::from_millis(100)));
+        gateway.shut_down(ShutdownSchedule {
+            accept_until: None,
+            answer_deadline: after_start(2_000),
+            hand_off,
+        });
         tokio::time::sleep(Duration::from_millis(2_200)).await;
         assert_eq!(collect_events(answer).await.concat(), b"ab");
     })
@@ -678,7 +682,7 @@
 
 /// Sends 200 requests and returns how many of them went to the second of two writers.
 async fn requests_to_second_writer(gateway: &Gateway<FakeEngines>, fake: &FakeEngines, name: &str) -> usize {
-    let before = fake.written_endpoints.borrow().len();
+    let earlier_count = fake.written_endpoints.borrow().len();
     for number in 0..200 {
         collect_events(
             gateway
@@ -689,7 +693,7 @@
         )
         .await;
     }
-    fake.written_endpoints.borrow()[before..].iter().filter(|to| *to == "w2").count()
+    fake.written_endpoints.borrow()[earlier_count..].iter().filter(|endpoint| *endpoint == "w2").count()
 }
 
 // The wall clock is stepped while the gateway runs. After a step back, a server that had just started
--- a/tests/dangers.rs
+++ b/tests/dangers.rs
@@ -210,7 +210,7 @@
     assert!(!is_refused(&actions, "modest"));
 }
 
-// After the loss of a building all its clients came back at once to resume their answers. Counted again, they
+// After the loss of a building all its clients reconnected at once to resume their answers. Counted again, they
 // exceeded their tenant's quota and were refused until they gave up.
 #[test]
 fn resumed_requests_do_not_count_against_the_quota_again() {
@@ -284,10 +284,10 @@
     let mut harness = Harness::new(settings(), &[1, 2, 11]);
     read_slowly(&mut harness);
     harness.submit(Arrival { prompt_tokens: 1.0, ..arrival("waits") });
-    let cancelled = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
-    assert!(!cancelled(&harness.advance(1_500_000)));
+    let contains_cancel = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
+    assert!(!contains_cancel(&harness.advance(1_500_000)));
     assert!(
-        cancelled(&harness.advance(4_000_000)),
+        contains_cancel(&harness.advance(4_000_000)),
         "a read without any response must be cancelled in the end"
     );
 }
@@ -314,14 +314,14 @@
     };
     let name =
         names.into_iter().find(is_sent_to_cold_reader).expect("some of the requests go to the cold reader");
-    let cancelled = |actions: &[Action]| {
+    let contains_cancel = |actions: &[Action]| {
         actions
             .iter()
             .any(|a| matches!(a, Action::Cancel { id: cancelled_id, .. } if *cancelled_id == id(&name)))
     };
     // Overdue after eight times 0.2 s; the waits of the warm readers would make that eight times 0.6 s.
     assert!(
-        cancelled(&harness.advance(2_500_000)),
+        contains_cancel(&harness.advance(2_500_000)),
         "the read must be cancelled by the waits of cold readers alone"
     );
 }
@@ -615,10 +615,10 @@
 fn read_is_not_cancelled_at_a_few_times_its_expected_duration() {
     let mut harness = Harness::new(settings(), &[1, 2, 11]);
     harness.submit(arrival("a"));
-    let cancelled = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
+    let contains_cancel = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
     // The expected duration is 0.3 s.
-    assert!(!cancelled(&harness.advance(2_000_000)));
-    assert!(cancelled(&harness.advance(1_000_000)), "a silent read must be cancelled in the end");
+    assert!(!contains_cancel(&harness.advance(2_000_000)));
+    assert!(contains_cancel(&harness.advance(1_000_000)), "a silent read must be cancelled in the end");
 }
 
 // The router waited for a send over a silent connection while the reader held the state. The state must be
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -303,7 +303,7 @@
 }
 
 // Each of hundreds of routers learns by itself that a zone is lost. One engine of the zone after the other
-// was dialled for the same request until its attempts were spent, while the other zones were ready.
+// was dialled for the same request until its attempts were exhausted, while the other zones were ready.
 #[test]
 fn request_leaves_a_zone_whose_connections_time_out() {
     let mut harness = Harness::new(settings(), &[]);
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -241,8 +241,8 @@
 }
 
 /// Last start of a server at or before the given time.
-fn last_start(scenario: &Scenario, server: u32, at: Micros) -> Option<Micros> {
-    start_times(scenario, server).into_iter().rfind(|start| *start <= at)
+fn last_start(scenario: &Scenario, server: u32, time: Micros) -> Option<Micros> {
+    start_times(scenario, server).into_iter().rfind(|start| *start <= time)
 }
 
 /// Ids of all servers, readers first.
@@ -251,24 +251,24 @@
 }
 
 /// Capacity of a server at the given time, in calls of mean work per second.
-pub fn capacity(scenario: &Scenario, server: u32, at: Micros) -> f64 {
+pub fn capacity(scenario: &Scenario, server: u32, time: Micros) -> f64 {
     let total_reader_capacity = scenario.capacity * f64::from(scenario.readers);
     let warm = if server < FIRST_WRITER {
         scenario.capacity
     } else {
         total_reader_capacity / f64::from(scenario.writers)
     };
-    let started = last_start(scenario, server, at);
-    let age = started.map_or(1.0, |start| (at - start) as f64 / 1e6 / scenario.warm_after_s).min(1.0);
+    let started = last_start(scenario, server, time);
+    let age = started.map_or(1.0, |start| (time - start) as f64 / 1e6 / scenario.warm_after_s).min(1.0);
     warm * (scenario.initial_capacity + (1.0 - scenario.initial_capacity) * age)
 }
 
 /// Budget of a server, in calls of mean work, for a window that begins at the given time, and the window's
 /// length.
-pub fn budget(scenario: &Scenario, server: u32, at: Micros) -> (f64, Micros) {
-    let rule_budget = |factor: f64, window_s: f64| factor * capacity(scenario, server, at) * window_s;
+pub fn budget(scenario: &Scenario, server: u32, time: Micros) -> (f64, Micros) {
+    let rule_budget = |factor: f64, window_s: f64| factor * capacity(scenario, server, time) * window_s;
     let (calls, window_s) = match scenario.reload {
-        Some(Reload::SlowStartRule) if at >= RELOAD_AT => (rule_budget(2.0, 1.0), 1.0),
+        Some(Reload::SlowStartRule) if time >= RELOAD_AT => (rule_budget(2.0, 1.0), 1.0),
         _ => (rule_budget(scenario.overload_factor, scenario.window_s), scenario.window_s),
     };
     (allowance(calls), (window_s * 1e6) as Micros)
@@ -310,8 +310,14 @@
     }
 
     fn is_overdue(&self, request: &Request) -> bool {
-        let arrived_at: Micros =
-            request.arrival.id.0.split('@').nth(1).and_then(|at| at.parse().ok()).unwrap_or(0);
+        let arrived_at: Micros = request
+            .arrival
+            .id
+            .0
+            .split('@')
+            .nth(1)
+            .and_then(|arrival_time| arrival_time.parse().ok())
+            .unwrap_or(0);
         let alive = self.processes[request.process as usize].alive;
         alive && arrived_at + request.arrival.expires_in + 100_000 < self.now
     }
@@ -577,8 +583,8 @@
         let attempt_end = |status| FleetEvent::AttemptEnd { name: name.to_owned(), attempt, status };
         if !self.is_up(server) {
             let times_out = self.rng.bool();
-            let after = if times_out { DIAL_TIMEOUT } else { CONNECTION_REFUSED_AFTER };
-            return self.schedule(self.now + after, attempt_end(Status::NoConnection));
+            let error_delay = if times_out { DIAL_TIMEOUT } else { CONNECTION_REFUSED_AFTER };
+            return self.schedule(self.now + error_delay, attempt_end(Status::NoConnection));
         }
         let work = prompt
             / if self.scenario.varied_prompts { MEAN_VARIED_PROMPT_TOKENS } else { TYPICAL_PROMPT_TOKENS };
--- a/tests/soak/network.rs
+++ b/tests/soak/network.rs
@@ -246,9 +246,9 @@
 pub async fn measure_lateness(judge: Rc<RefCell<Judge>>) {
     const SLEEP_DURATION: Duration = Duration::from_millis(20);
     loop {
-        let before = Instant::now();
+        let sleep_start = Instant::now();
         tokio::time::sleep(SLEEP_DURATION).await;
-        let oversleep = before.elapsed().saturating_sub(SLEEP_DURATION);
+        let oversleep = sleep_start.elapsed().saturating_sub(SLEEP_DURATION);
         let mut judge = judge.borrow_mut();
         judge.lateness = judge.lateness.max(oversleep);
         judge.check_open_requests();
