--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -103,7 +103,8 @@
     .await;
 }
 
-// The HTTP parser keeps one of the two lengths and would treat what hides in the body as a separate request.
+// The HTTP parser keeps one of the two lengths and would treat a request hidden in the body as a separate
+// request.
 #[rstest]
 #[case::length_first("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n")]
 #[case::chunks_first("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n")]
@@ -244,8 +245,8 @@
 }
 
 // A request may arrive just as its connection is closed. Either it is served completely, or it is refused
-// because it arrived too late in the shutdown, or its client sees a close without a response and sends it again;
-// in that case no engine may have received it.
+// because it arrived too late in the shutdown, or its client sees a close without a response and sends it
+// again; in that case no engine may have received it.
 #[tokio::test]
 async fn request_that_crosses_the_close_at_shutdown_is_served_or_reaches_no_engine() {
     use std::time::Duration;
--- a/tests/dangers.rs
+++ b/tests/dangers.rs
@@ -76,7 +76,7 @@
 }
 
 // Room at a writer in slow start allowed every prompt to be read, although that writer takes only the few
-// requests that its hash fraction admits. The other prompts were read in vain.
+// requests that its hash fraction admits. The other prompts were read without use.
 #[test]
 fn no_prompt_is_read_if_only_writers_that_may_not_take_it_have_room() {
     let mut harness = Harness::new(settings(), &[1, 2]);
@@ -210,8 +210,8 @@
     assert!(!is_refused(&actions, "modest"));
 }
 
-// After the loss of a building all its clients reconnected at once to resume their answers. Counted again, they
-// exceeded their tenant's quota and were refused until they gave up.
+// After the loss of a building all its clients reconnected at once to resume their answers. Counted again,
+// they exceeded their tenant's quota and were refused until they gave up.
 #[test]
 fn resumed_requests_do_not_count_against_the_quota_again() {
     let mut harness = Harness::new(Settings { tenant_rates: vec![2.0, 100.0], ..settings() }, &[1, 11]);
@@ -562,7 +562,7 @@
 }
 
 // During congestion hundreds of routers cancelled waiting reads and had the prompts read again elsewhere: two
-// thirds of all reads were in vain, and this prolonged the congestion.
+// thirds of all reads were wasted, and this prolonged the congestion.
 #[test]
 fn few_reads_are_cancelled_per_completed_read() {
     let mut harness = Harness::new(settings(), &[1, 2, 3, 4, 5, 6, 7, 8, 11]);
--- a/tests/engines.rs
+++ b/tests/engines.rs
@@ -40,8 +40,8 @@
     };
 }
 
-// Nothing of the response was passed on, so it is one failed attempt, which may have run. Once a part was
-// passed on, the client would have lost the complete request.
+// Nothing of the response was passed on, so the attempt counts as failed and may have run. If a part had been
+// passed on, the client would have lost the request.
 #[rstest]
 #[case::noise("\u{1}\u{2}noise\r\n\r\n")]
 #[case::unreadable_head("HTTP/9.9 200 OK\r\n\r\n")]
--- a/tests/fault-shim/src/lib.rs
+++ b/tests/fault-shim/src/lib.rs
@@ -191,14 +191,14 @@
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     if should_fail() {
         return fail(&[libc::EINTR]);
     }
     // SAFETY: the caller provides arguments that are valid for the same system call.
-    unsafe { libc::syscall(libc::SYS_epoll_wait, fd, events, most, timeout) as c_int }
+    unsafe { libc::syscall(libc::SYS_epoll_wait, fd, events, max_events, timeout) as c_int }
 }
 
 /// # Safety
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -245,8 +245,8 @@
         *revision
     }
 
-    /// Returns the time at which the revision, or a later one, was first written to a watch. From this time on
-    /// the revision counts as announced.
+    /// Returns the time at which the revision, or a later one, was first written to a watch. The revision
+    /// counts as announced from this time on.
     pub fn announced_at(&self, revision: u64) -> Instant {
         let written_revisions = self.written_revisions.borrow();
         written_revisions.iter().find(|(rev, _)| *rev >= revision).expect("the revision was written").1
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-// A gateway that was given another discovery address stayed
-// at the old one and sent to engines that were long gone.
+// A gateway that was given another discovery address kept the old one and sent requests to engines that no
+// longer existed.
 #[tokio::test]
 async fn watch_moves_without_a_gap() {
     run_local(async {
@@ -109,7 +109,8 @@
     .await;
 }
 
-// Revisions start again when discovery is set up anew: its engines were never taken into use.
+// Revisions start again when discovery is set up from scratch. The gateway never used the engines of the new
+// list.
 #[tokio::test]
 async fn address_that_keeps_an_older_revision_is_accepted() {
     run_local(async {
--- a/tests/soak/scenario.rs
+++ b/tests/soak/scenario.rs
@@ -40,7 +40,7 @@
     GatewaysStop,
     GatewaysKilled,
     GatewaysReload,
-    /// Gateway processes are suspended for a moment.
+    /// Gateway processes are suspended briefly.
     GatewaysPause,
 }
 
