--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -279,7 +279,7 @@
                 .received
                 .borrow()
                 .iter()
-                .any(|request| request.headers.get("req-id") == Some(&format!("b{n}")));
+                .any(|received_request| received_request.headers.get("req-id") == Some(&format!("b{n}")));
             if answer.is_empty() {
                 assert!(!reached_reader, "b{n} was sent to an engine and not answered");
                 closed += 1;
