--- a/tests/inference.rs
+++ b/tests/inference.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-struct World {
+struct Fixture {
     reader: Engine,
     writer: Engine,
     embedders: [Engine; 2],
@@ -19,7 +19,7 @@
     daemon: Daemon,
 }
 
-impl World {
+impl Fixture {
     async fn start(rerank_effect: &str, deadline_ms: u64) -> Self {
         let reader = Engine::start("r1", "reader").await;
         let writer = Engine::start("w1", "writer").await;
@@ -49,15 +49,15 @@
     json!({"model": "reranker", "query": text, "documents": ["a", "b", "c"]}).to_string()
 }
 
-async fn embed(address: SocketAddr, text: &str) -> Answer {
-    ask(address, "POST", "/v1/embeddings", &[], &embed_body(text)).await
+async fn embed(address: SocketAddr, text: &str) -> ClientResponse {
+    send_request(address, "POST", "/v1/embeddings", &[], &embed_body(text)).await
 }
 
-async fn rerank(address: SocketAddr, text: &str, headers: &[(&str, &str)]) -> Answer {
-    ask(address, "POST", "/v1/rerank", headers, &rerank_body(text)).await
+async fn rerank(address: SocketAddr, text: &str, headers: &[(&str, &str)]) -> ClientResponse {
+    send_request(address, "POST", "/v1/rerank", headers, &rerank_body(text)).await
 }
 
-fn entries(answer: &Answer, list: &str) -> usize {
+fn entries(answer: &ClientResponse, list: &str) -> usize {
     answer.json()[list].as_array().map_or(0, Vec::len)
 }
 
@@ -66,24 +66,24 @@
 // announcement.
 #[tokio::test]
 async fn mixed_traffic_through_a_drain_loses_and_repeats_no_request() {
-    local(async {
-        let world = World::start("unsafe", 20_000).await;
+    run_local(async {
+        let fixture = Fixture::start("unsafe", 20_000).await;
         let second_reader = Engine::start("r2", "reader").await;
         let second_writer = Engine::start("w2", "writer").await;
-        world.discovery.add(&second_reader);
-        world.discovery.add(&second_writer);
+        fixture.discovery.add(&second_reader);
+        fixture.discovery.add(&second_writer);
         let engines = [
-            &world.reader,
-            &world.writer,
-            &world.embedders[0],
-            &world.embedders[1],
-            &world.rerankers[0],
-            &world.rerankers[1],
+            &fixture.reader,
+            &fixture.writer,
+            &fixture.embedders[0],
+            &fixture.embedders[1],
+            &fixture.rerankers[0],
+            &fixture.rerankers[1],
         ];
         for engine in engines.into_iter().chain([&second_reader, &second_writer]) {
             engine.mode.set(Mode::Slow(30));
         }
-        let (address, answers) = (world.daemon.address, Rc::<RefCell<Vec<_>>>::default());
+        let (address, answers) = (fixture.daemon.address, Rc::<RefCell<Vec<_>>>::default());
         let mut clients = Vec::new();
         for client in 0..9 {
             let answers = answers.clone();
@@ -99,36 +99,40 @@
                 }
             }));
         }
-        until("at 18 answers", async || answers.borrow().len() > 18).await;
-        let draining_engines = [&world.reader, &world.writer, &world.embedders[0], &world.rerankers[0]];
-        let revisions = draining_engines.map(|engine| world.discovery.set(engine, "DRAINING"));
+        wait_until("more than 18 answers have arrived", async || answers.borrow().len() > 18).await;
+        let draining_engines =
+            [&fixture.reader, &fixture.writer, &fixture.embedders[0], &fixture.rerankers[0]];
+        let revisions = draining_engines.map(|engine| fixture.discovery.set_state(engine, "DRAINING"));
         for client in clients {
             client.await.expect("the client task completes");
         }
         assert_eq!(answers.borrow().len(), 9 * 12);
         for (list, answer) in answers.borrow().iter() {
             let complete = match *list {
-                "" => answer.body == EVENTS.concat() && answer.whole,
+                "" => answer.body == EVENTS.concat() && answer.complete,
                 "data" => entries(answer, list) == 2,
                 _ => entries(answer, list) == 3,
             };
             assert!(answer.status == 200 && complete, "{answer:?}");
         }
         for (engine, revision) in draining_engines.iter().zip(revisions) {
-            let informed_at = world.discovery.told(revision);
-            let seen = engine.seen.borrow();
-            let calls: Vec<_> = seen.iter().filter(|s| s.method == "POST").collect();
+            let announced_at = fixture.discovery.announced_at(revision);
+            let received = engine.received.borrow();
+            let calls: Vec<_> = received.iter().filter(|request| request.method == "POST").collect();
             assert!(
                 !calls.is_empty()
-                    && calls.iter().all(|call| call.at < informed_at + Duration::from_millis(250))
+                    && calls.iter().all(|call| call.received_at < announced_at + Duration::from_millis(250))
             );
         }
         // Requests that must not be repeated ran once: each rerank call, and each chat request at the
         // writers.
         let mut runs = BTreeSet::new();
-        for engine in [&world.rerankers[0], &world.rerankers[1], &world.writer, &second_writer] {
-            for seen in engine.seen.borrow().iter().filter(|s| s.method == "POST") {
-                assert!(runs.insert((seen.headers["req-id"].clone(), seen.path.clone())), "{seen:?}");
+        for engine in [&fixture.rerankers[0], &fixture.rerankers[1], &fixture.writer, &second_writer] {
+            for request in engine.received.borrow().iter().filter(|request| request.method == "POST") {
+                assert!(
+                    runs.insert((request.headers["req-id"].clone(), request.path.clone())),
+                    "{request:?}"
+                );
             }
         }
         assert_eq!(runs.len(), 6 * 12);
@@ -147,12 +151,12 @@
     #[case] status: u16,
     #[case] runs: usize,
 ) {
-    local(async {
-        let world = World::start(effect, 20_000).await;
+    run_local(async {
+        let fixture = Fixture::start(effect, 20_000).await;
         // Each engine cuts off its first answer, so that the first two runs break on any engine.
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::CutOnce));
-        let answer = rerank(world.daemon.address, "q", &[]).await;
-        assert_eq!((answer.status, world.rerank_calls()), (status, runs));
+        fixture.rerankers.iter().for_each(|e| e.mode.set(Mode::TruncatesOnce));
+        let answer = rerank(fixture.daemon.address, "q", &[]).await;
+        assert_eq!((answer.status, fixture.rerank_calls()), (status, runs));
         assert!(status != 200 || entries(&answer, "results") == 3);
         assert!(status == 200 || answer.json()["error"]["message"].is_string());
     })
@@ -163,10 +167,10 @@
 // entries.
 #[tokio::test]
 async fn answer_with_missing_entries_counts_as_failed() {
-    local(async {
-        let world = World::start("unsafe", 20_000).await;
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::Short));
-        assert_eq!((rerank(world.daemon.address, "q", &[]).await.status, world.rerank_calls()), (502, 1));
+    run_local(async {
+        let fixture = Fixture::start("unsafe", 20_000).await;
+        fixture.rerankers.iter().for_each(|e| e.mode.set(Mode::IncompleteList));
+        assert_eq!((rerank(fixture.daemon.address, "q", &[]).await.status, fixture.rerank_calls()), (502, 1));
     })
     .await;
 }
@@ -175,20 +179,20 @@
 // The retry must not run the call a second time.
 #[tokio::test]
 async fn retry_with_the_same_key_joins_the_running_call() {
-    local(async {
-        let world = World::start("unsafe", 20_000).await;
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(400)));
-        let (address, key) = (world.daemon.address, [("Idempotency-Key", "k1")]);
-        let first = tokio::time::timeout(Duration::from_millis(150), rerank(address, "q", &key)).await;
-        first.expect_err("the first client gave up before the answer");
+    run_local(async {
+        let fixture = Fixture::start("unsafe", 20_000).await;
+        fixture.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(400)));
+        let (address, key) = (fixture.daemon.address, [("Idempotency-Key", "k1")]);
+        let abandoned = tokio::time::timeout(Duration::from_millis(150), rerank(address, "q", &key)).await;
+        abandoned.expect_err("the first client gave up before the answer");
         let (second, third) = tokio::join!(rerank(address, "q", &key), rerank(address, "q", &key));
         for answer in [second, third, rerank(address, "q", &key).await] {
             assert_eq!((answer.status, entries(&answer, "results")), (200, 3));
         }
-        assert_eq!(world.rerank_calls(), 1);
+        assert_eq!(fixture.rerank_calls(), 1);
         assert_eq!(rerank(address, "another", &key).await.status, 422, "the key was used for another call");
         assert_eq!(rerank(address, "q", &[]).await.status, 200);
-        assert_eq!(world.rerank_calls(), 2, "calls without a key run separately");
+        assert_eq!(fixture.rerank_calls(), 2, "calls without a key run separately");
     })
     .await;
 }
@@ -207,12 +211,12 @@
     #[case] body: Value,
     #[case] status: u16,
 ) {
-    local(async {
-        let world = World::start("safe", 20_000).await;
-        let answer = ask(world.daemon.address, "POST", path, &[], &body.to_string()).await;
+    run_local(async {
+        let fixture = Fixture::start("safe", 20_000).await;
+        let answer = send_request(fixture.daemon.address, "POST", path, &[], &body.to_string()).await;
         assert_eq!(answer.status, status);
         assert!(answer.json()["error"]["type"] == "invalid_request_error");
-        let calls: usize = world.embedders.iter().chain(&world.rerankers).map(|e| e.count("/v1/")).sum();
+        let calls: usize = fixture.embedders.iter().chain(&fixture.rerankers).map(|e| e.count("/v1/")).sum();
         assert_eq!(calls, 0);
     })
     .await;
@@ -229,11 +233,11 @@
     #[case] mode: Mode,
     #[case] status: u16,
 ) {
-    local(async {
-        let world = World::start(effect, 1000).await;
-        world.rerankers.iter().for_each(|e| e.mode.set(mode));
+    run_local(async {
+        let fixture = Fixture::start(effect, 1000).await;
+        fixture.rerankers.iter().for_each(|e| e.mode.set(mode));
         let start = Instant::now();
-        let answer = rerank(world.daemon.address, "q", &[]).await;
+        let answer = rerank(fixture.daemon.address, "q", &[]).await;
         assert_eq!(answer.status, status, "{answer:?}");
         assert_eq!(answer.head.contains("retry-after"), status == 429);
         assert!(start.elapsed() < Duration::from_secs(5));
@@ -245,15 +249,15 @@
 // would become so short that every slow call was overdue.
 #[tokio::test]
 async fn rejected_calls_do_not_shorten_the_estimate_for_other_calls() {
-    local(async {
-        let world = World::start("safe", 20_000).await;
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::Faults));
+    run_local(async {
+        let fixture = Fixture::start("safe", 20_000).await;
+        fixture.rerankers.iter().for_each(|e| e.mode.set(Mode::RejectsAsInvalid));
         for _ in 0..12 {
-            assert_eq!(rerank(world.daemon.address, "q", &[]).await.status, 400);
+            assert_eq!(rerank(fixture.daemon.address, "q", &[]).await.status, 400);
         }
-        world.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(1500)));
-        assert_eq!(rerank(world.daemon.address, "q", &[]).await.status, 200);
-        assert_eq!(world.rerank_calls(), 12 + 1);
+        fixture.rerankers.iter().for_each(|e| e.mode.set(Mode::Slow(1500)));
+        assert_eq!(rerank(fixture.daemon.address, "q", &[]).await.status, 200);
+        assert_eq!(fixture.rerank_calls(), 12 + 1);
     })
     .await;
 }
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -22,24 +22,27 @@
 // that had left.
 #[tokio::test]
 async fn attempt_sends_the_time_left_at_the_time_of_writing() {
-    local(async {
+    run_local(async {
         let readers = [Engine::start("r1", "reader").await, Engine::start("r2", "reader").await];
         let writer = Engine::start("w1", "writer").await;
         let discovery = Discovery::start(&[&readers[0], &readers[1], &writer]).await;
         let daemon = Daemon::start(&discovery, None).await;
         for engine in readers.iter().chain([&writer]) {
-            engine.mute_to_releases.set(true);
+            engine.ignores_releases.set(true);
         }
-        readers.iter().for_each(|reader| reader.mode.set(Mode::CutOnce));
+        readers.iter().for_each(|reader| reader.mode.set(Mode::TruncatesOnce));
         let sent_at = Instant::now();
         assert_eq!(chat(daemon.address, "a1", "lookup", 3000).await.status, 200);
         let mut late_attempts = 0;
-        for seen in readers.iter().chain([&writer]).flat_map(|engine| engine.seen.borrow().clone()) {
-            let Some(deadline) = seen.headers.get("req-deadline") else { continue };
+        for request in readers.iter().chain([&writer]).flat_map(|engine| engine.received.borrow().clone()) {
+            let Some(deadline) = request.headers.get("req-deadline") else { continue };
             let deadline: f64 = deadline.trim_end_matches('m').parse().expect("milliseconds");
-            let left = 3000.0 - seen.at.duration_since(sent_at).as_secs_f64() * 1e3;
-            assert!(deadline <= left + 50.0, "the attempt was sent {deadline} ms with {left} ms left");
-            late_attempts += usize::from(left < 2800.0);
+            let time_left_ms = 3000.0 - request.received_at.duration_since(sent_at).as_secs_f64() * 1e3;
+            assert!(
+                deadline <= time_left_ms + 50.0,
+                "the attempt was sent {deadline} ms with {time_left_ms} ms left"
+            );
+            late_attempts += usize::from(time_left_ms < 2800.0);
         }
         assert!(late_attempts > 0, "no attempt followed a release that no engine answered");
     })
@@ -50,7 +53,7 @@
 // killed.
 #[tokio::test]
 async fn embeddings_request_is_answered_before_a_stopping_gateway_is_killed() {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let embedder = Engine::start("e1", "embedder").await;
         embedder.mode.set(Mode::Silent);
@@ -61,14 +64,15 @@
         let daemon = Daemon::start(&chat, Some(json!({"pools": [pool]}))).await;
         let address = daemon.address;
         let body = r#"{"model":"embedder","input":["a"]}"#;
-        let response = spawn_local(async move { ask(address, "POST", "/v1/embeddings", &[], body).await });
-        until("the request has reached the engine", async || embedder.count("/v1/") == 1).await;
+        let response =
+            spawn_local(async move { send_request(address, "POST", "/v1/embeddings", &[], body).await });
+        wait_until("the request has reached the engine", async || embedder.count("/v1/") == 1).await;
         let stopped_at = Instant::now();
         daemon.stop.notify_one();
         assert_eq!(response.await.expect("an answer").status, 504);
         // The process is killed 3.7 s after the stop signal.
         assert!(stopped_at.elapsed() < Duration::from_millis(3650), "{:?}", stopped_at.elapsed());
-        tokio::time::timeout(Duration::from_secs(5), daemon.ended)
+        tokio::time::timeout(Duration::from_secs(5), daemon.task)
             .await
             .expect("the daemon ends")
             .expect("no panic");
@@ -101,13 +105,13 @@
 #[case::left_to_the_successor(Phase::Superseded, "")]
 #[tokio::test]
 async fn requests_in_the_backlog_when_the_gateway_closes(#[case] phase: Phase, #[case] body: &str) {
-    local(async {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let shared_socket = listener.into_std().expect("a socket");
         let listener =
             TcpListener::from_std(shared_socket.try_clone().expect("a duplicate")).expect("a socket");
-        let waiting: Vec<_> = (0..24)
+        let waiting_streams: Vec<_> = (0..24)
             .map(|n| {
                 let mut stream =
                     std::net::TcpStream::connect(address).expect("the gateway accepts connections");
@@ -115,26 +119,29 @@
                 stream
             })
             .collect();
-        let second = Duration::from_secs(1);
+        let one_second = Duration::from_secs(1);
         let limits = ServeLimits {
             connections: 64,
             extra_connections: 0,
             buffer_bytes: 8 << 10,
             read_ahead_bytes: 8 << 10,
-            stall_timeout: second,
-            head_timeout: second,
-            idle_timeout: second,
-            min_idle: second,
+            stall_timeout: one_second,
+            head_timeout: one_second,
+            idle_timeout: one_second,
+            min_idle: one_second,
         };
         let (_phase, phases) = watch::channel(phase);
         meadowlug::net::serve(listener, Rc::new(ImmediateFront), limits, phases).await;
         // No other process serves the socket in this test: the connections left in its backlog are reset with
         // the socket.
         drop(shared_socket);
-        for mut stream in waiting {
+        for mut stream in waiting_streams {
             let mut answer = String::new();
-            let read = stream.read_to_string(&mut answer);
-            assert!(answer.ends_with(body) && read.is_err() == body.is_empty(), "{read:?} {answer}");
+            let read_result = stream.read_to_string(&mut answer);
+            assert!(
+                answer.ends_with(body) && read_result.is_err() == body.is_empty(),
+                "{read_result:?} {answer}"
+            );
         }
     })
     .await;
@@ -144,31 +151,39 @@
 // one deployment may affect the next.
 #[tokio::test]
 async fn settings_of_one_deployment_do_not_affect_the_next() {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
-        let mut other = Daemon::settings();
-        other["categories"][0]["effect"] = json!("unsafe");
-        other["categories"][0]["hardLimitMs"] = json!(700);
-        other["projects"] = json!([{"name": "shop", "quotaPerS": 100000.0}]);
+        let mut other_settings = Daemon::settings();
+        other_settings["categories"][0]["effect"] = json!("unsafe");
+        other_settings["categories"][0]["hardLimitMs"] = json!(700);
+        other_settings["projects"] = json!([{"name": "shop", "quotaPerS": 100000.0}]);
         let outcomes = async |settings: &serde_json::Value, tenant: &str| {
             let (known, limits) = (json!(null), json!({}));
-            let daemon = Daemon::configured(settings.clone(), known, limits, discovery.address, None).await;
-            until("the daemon is ready", async || daemon.is_ready().await).await;
+            let daemon =
+                Daemon::with_settings(settings.clone(), known, limits, discovery.address, None).await;
+            wait_until("the daemon is ready", async || daemon.is_ready().await).await;
             let headers = [("Req-Id", "a1"), ("Req-Kind", "lookup"), ("Req-Owner", tenant)];
-            writer.mode.set(Mode::SaysOnce("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"));
-            let first = ask(daemon.address, "POST", "/v1/chat/completions", &headers, CHAT).await.status;
+            writer.mode.set(Mode::SendsOnce("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"));
+            let first_status =
+                send_request(daemon.address, "POST", "/v1/chat/completions", &headers, CHAT_BODY)
+                    .await
+                    .status;
             writer.mode.set(Mode::Silent);
             let start = Instant::now();
             let headers = [("Req-Id", "a2"), ("Req-Kind", "lookup"), ("Req-Owner", tenant)];
-            let response = ask(daemon.address, "POST", "/v1/chat/completions", &headers, CHAT);
+            let response = send_request(daemon.address, "POST", "/v1/chat/completions", &headers, CHAT_BODY);
             let response = tokio::time::timeout(Duration::from_secs(2), response).await;
             daemon.stop.notify_one();
-            (first, response.map(|answer| answer.status).ok(), start.elapsed() < Duration::from_secs(1))
+            (
+                first_status,
+                response.map(|answer| answer.status).ok(),
+                start.elapsed() < Duration::from_secs(1),
+            )
         };
         assert_eq!(outcomes(&Daemon::settings(), "desk").await, (200, None, false));
-        assert_eq!(outcomes(&other, "shop").await, (502, Some(504), true));
-        assert_eq!(outcomes(&other, "desk").await.0, 400);
+        assert_eq!(outcomes(&other_settings, "shop").await, (502, Some(504), true));
+        assert_eq!(outcomes(&other_settings, "desk").await.0, 400);
         assert_eq!(outcomes(&Daemon::settings(), "desk").await, (200, None, false));
     })
     .await;
@@ -178,30 +193,30 @@
 // of its own got the old deadline of its class.
 #[tokio::test]
 async fn reloaded_settings_apply_to_later_requests() {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let daemon = Daemon::start(&discovery, None).await;
         writer.mode.set(Mode::Silent);
-        let mut short = Daemon::settings();
-        short["categories"][1]["hardLimitMs"] = json!(600);
-        daemon.change_settings(short).await;
+        let mut short_deadline = Daemon::settings();
+        short_deadline["categories"][1]["hardLimitMs"] = json!(600);
+        daemon.change_settings(short_deadline).await;
         let mut n = 0;
-        until("the shorter deadline applies", async || {
+        wait_until("the shorter deadline applies", async || {
             n += 1;
             let id = format!("a{n}");
             let headers = [("Req-Id", id.as_str()), ("Req-Kind", "correction"), ("Req-Owner", "desk")];
-            let answer = ask(daemon.address, "POST", "/v1/chat/completions", &headers, CHAT);
+            let answer = send_request(daemon.address, "POST", "/v1/chat/completions", &headers, CHAT_BODY);
             let answer = tokio::time::timeout(Duration::from_millis(1_500), answer).await;
             answer.is_ok_and(|answer| answer.status == 504)
         })
         .await;
-        let seen = reader.seen.borrow();
-        let attempts = seen.iter().filter(|seen| seen.path.starts_with("/v1/"));
-        let deadlines: Vec<_> = attempts.map(|seen| seen.headers["req-deadline"].clone()).collect();
-        let last =
+        let received = reader.received.borrow();
+        let attempts = received.iter().filter(|request| request.path.starts_with("/v1/"));
+        let deadlines: Vec<_> = attempts.map(|request| request.headers["req-deadline"].clone()).collect();
+        let last_deadline_ms =
             deadlines.last().expect("a deadline").trim_end_matches('m').parse::<u64>().expect("milliseconds");
-        assert!(last <= 600, "{deadlines:?}");
+        assert!(last_deadline_ms <= 600, "{deadlines:?}");
     })
     .await;
 }
@@ -231,13 +246,13 @@
     #[case] completes: bool,
     #[values(true, false)] resume: bool,
 ) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let mut settings = Daemon::settings();
         settings["extra"]["resume"] = json!(resume);
-        let daemon = Daemon::configured(settings, json!(null), json!({}), discovery.address, None).await;
-        until("the daemon is ready", async || daemon.is_ready().await).await;
+        let daemon = Daemon::with_settings(settings, json!(null), json!({}), discovery.address, None).await;
+        wait_until("the daemon is ready", async || daemon.is_ready().await).await;
         let mut stream = idle_connection(daemon.address).await;
         let text = chat_text("a1", "lookup");
         stream.write_all(&text.as_bytes()[..bytes_before_stop]).await.expect("written");
@@ -259,7 +274,7 @@
             "{answer}"
         );
         assert_eq!(reader.count("/v1/"), 1 + usize::from(completes && resume));
-        tokio::time::timeout(Duration::from_secs(3), daemon.ended)
+        tokio::time::timeout(Duration::from_secs(3), daemon.task)
             .await
             .expect("the daemon ends")
             .expect("no panic");
@@ -275,7 +290,7 @@
 #[case::slow_in_body(170)]
 #[tokio::test]
 async fn request_arriving_slowly_during_a_stop_is_answered_before_the_kill(#[case] bytes_before_stop: usize) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let daemon = Daemon::start(&discovery, None).await;
@@ -285,7 +300,7 @@
         write.write_all(&text.as_bytes()[..bytes_before_stop]).await.expect("written");
         daemon.stop.notify_one();
         let stopped_at = Instant::now();
-        let trickle = spawn_local(async move {
+        let slow_write = spawn_local(async move {
             for byte in &text.as_bytes()[bytes_before_stop..text.len() - 1] {
                 tokio::time::sleep(Duration::from_millis(300)).await;
                 if write.write_all(&[*byte]).await.is_err() {
@@ -295,11 +310,11 @@
             std::future::pending::<()>().await;
         });
         let mut answer = String::new();
-        let ended =
+        let read_result =
             tokio::time::timeout(Duration::from_millis(3_650), read.read_to_string(&mut answer)).await;
-        assert!(ended.is_ok(), "the connection is still open after {:?}", stopped_at.elapsed());
+        assert!(read_result.is_ok(), "the connection is still open after {:?}", stopped_at.elapsed());
         assert!(answer.starts_with("HTTP/1.1 408") || answer.starts_with("HTTP/1.1 503"), "{answer}");
-        trickle.abort();
+        slow_write.abort();
     })
     .await;
 }
@@ -308,18 +323,18 @@
 // must be answered and the state released before the process ends.
 #[tokio::test]
 async fn state_waiting_for_a_writer_during_a_stop_is_released() {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         writer.mode.set(Mode::Silent);
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let daemon = Daemon::start(&discovery, None).await;
         let address = daemon.address;
         let response = spawn_local(async move { chat(address, "a1", "lookup", 9000).await });
-        until("the writer has got an attempt", async || writer.count("/v1/") > 0).await;
+        wait_until("the writer has received an attempt", async || writer.count("/v1/") > 0).await;
         daemon.stop.notify_one();
         let answer = response.await.expect("an answer");
         assert!(matches!(answer.status, 429 | 504), "{answer:?}");
-        tokio::time::timeout(Duration::from_secs(5), daemon.ended)
+        tokio::time::timeout(Duration::from_secs(5), daemon.task)
             .await
             .expect("the daemon ends")
             .expect("no panic");
@@ -335,17 +350,17 @@
 #[case::reload_during_a_stop(false)]
 #[tokio::test]
 async fn stop_and_reload_at_the_same_time(#[case] reload_first: bool) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         reader.mode.set(Mode::Slow(400));
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let daemon = Daemon::start(&discovery, None).await;
         let address = daemon.address;
         let response = spawn_local(async move { chat(address, "a1", "lookup", 9000).await });
-        until("the reader has got an attempt", async || reader.count("/v1/") > 0).await;
+        wait_until("the reader has received an attempt", async || reader.count("/v1/") > 0).await;
         let stopped_at = Instant::now();
         if reload_first {
-            daemon.reread("{").await;
+            daemon.reload("{").await;
         }
         daemon.stop.notify_one();
         if !reload_first {
@@ -354,7 +369,7 @@
         }
         daemon.stop.notify_one();
         assert_eq!(response.await.expect("an answer").status, 200);
-        tokio::time::timeout(Duration::from_secs(5), daemon.ended)
+        tokio::time::timeout(Duration::from_secs(5), daemon.task)
             .await
             .expect("the daemon ends")
             .expect("no panic");
@@ -370,23 +385,25 @@
 #[case::both_answer(true)]
 #[tokio::test]
 async fn two_moves_of_discovery_in_quick_succession(#[case] first_answers: bool) {
-    local(async {
+    run_local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let (r3, writer) = (Engine::start("r3", "reader").await, Engine::start("w1", "writer").await);
-        let listed = |engine: &Engine| vec![engine.target("SERVING"), writer.target("SERVING")];
-        let old = Discovery::at(1, listed(&r1)).await;
-        let first = Discovery::at(2, listed(&r2)).await;
-        let last = Discovery::at(3, listed(&r3)).await;
-        let daemon = Daemon::start(&old, None).await;
-        daemon.move_discovery(if first_answers { first.address } else { closed_port().await }).await;
-        daemon.move_discovery(last.address).await;
+        let targets_with = |engine: &Engine| vec![engine.target("SERVING"), writer.target("SERVING")];
+        let old_discovery = Discovery::with_revision(1, targets_with(&r1)).await;
+        let first_discovery = Discovery::with_revision(2, targets_with(&r2)).await;
+        let last_discovery = Discovery::with_revision(3, targets_with(&r3)).await;
+        let daemon = Daemon::start(&old_discovery, None).await;
+        daemon
+            .move_discovery(if first_answers { first_discovery.address } else { closed_port().await })
+            .await;
+        daemon.move_discovery(last_discovery.address).await;
         let mut n = 0;
         let uses_last_address = async || {
             n += 1;
             assert_eq!(chat(daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
             r3.count("/v1/") > 0
         };
-        until("the last address is used", uses_last_address).await;
+        wait_until("the last address is used", uses_last_address).await;
         let attempts_before = r1.count("/v1/") + r2.count("/v1/");
         tokio::time::sleep(Duration::from_millis(300)).await;
         for n in 0..6 {
@@ -398,7 +415,7 @@
 }
 
 /// Starts a writer that closes each connection immediately, or after the first bytes of a request.
-async fn dying_writer(at_once: bool) -> SocketAddr {
+async fn closing_writer(at_once: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     spawn_local(async move {
@@ -411,7 +428,7 @@
     address
 }
 
-// A connection was established and then the server process was killed. The whole request may have been
+// A connection was established and then the server process was killed. The complete request may have been
 // written by then, so a request that must not run twice is not sent again; any other request is.
 #[rstest]
 #[tokio::test]
@@ -419,14 +436,14 @@
     #[values(true, false)] at_once: bool,
     #[values(("lookup", 200), ("correction", 502))] class: (&str, u16),
 ) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
-        let mut dying = writer.target("SERVING");
-        dying["uid"] = json!("w0");
-        dying["endpoint"] = json!(dying_writer(at_once).await.to_string());
-        let listed = vec![reader.target("SERVING"), writer.target("SERVING"), dying];
-        let daemon = Daemon::start(&Discovery::at(1, listed).await, None).await;
-        let mut failed = 0;
+        let mut closing_target = writer.target("SERVING");
+        closing_target["uid"] = json!("w0");
+        closing_target["endpoint"] = json!(closing_writer(at_once).await.to_string());
+        let targets = vec![reader.target("SERVING"), writer.target("SERVING"), closing_target];
+        let daemon = Daemon::start(&Discovery::with_revision(1, targets).await, None).await;
+        let mut failed_count = 0;
         for n in 0..6 {
             let attempts_before = writer.count("/v1/");
             let answer = chat(daemon.address, &format!("a{n}"), class.0, 9000).await;
@@ -434,9 +451,9 @@
             // If the last byte was provably not written, the attempt never ran and the request goes to the
             // other writer.
             assert!(answer.status == 200 && ran == 1 || answer.status == class.1 && ran == 0, "{answer:?}");
-            failed += usize::from(answer.status == 502);
+            failed_count += usize::from(answer.status == 502);
         }
-        assert!(class.1 == 502 || failed == 0);
+        assert!(class.1 == 502 || failed_count == 0);
     })
     .await;
 }
@@ -478,19 +495,19 @@
 #[tokio::test]
 async fn request_read_while_its_idle_connection_is_evicted_is_answered() {
     const IDLE_CONNECTIONS: usize = 12;
-    local(async {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let long = Duration::from_secs(10);
+        let long_timeout = Duration::from_secs(10);
         let limits = ServeLimits {
             connections: IDLE_CONNECTIONS,
             extra_connections: IDLE_CONNECTIONS,
             buffer_bytes: 8 << 10,
             read_ahead_bytes: 64 << 10,
-            stall_timeout: long,
-            head_timeout: long,
-            idle_timeout: long,
-            min_idle: long,
+            stall_timeout: long_timeout,
+            head_timeout: long_timeout,
+            idle_timeout: long_timeout,
+            min_idle: long_timeout,
         };
         let front = Rc::new(SlowFront::default());
         let (_phase, phases) = watch::channel(Phase::Serving);
@@ -517,8 +534,9 @@
             spawn_local(async move {
                 let mut client = TcpStream::from_std(client).expect("a socket");
                 let mut answer = vec![0; 4 << 10];
-                let read = tokio::time::timeout(Duration::from_secs(3), client.read(&mut answer)).await;
-                let length = read.expect("the gateway answers or closes the connection").unwrap_or(0);
+                let read_result =
+                    tokio::time::timeout(Duration::from_secs(3), client.read(&mut answer)).await;
+                let length = read_result.expect("the gateway answers or closes the connection").unwrap_or(0);
                 answer.truncate(length);
                 answer
             })
@@ -543,7 +561,7 @@
 // any engine and were abandoned immediately.
 #[tokio::test]
 async fn states_are_released_while_every_connection_is_in_use() {
-    local(async {
+    run_local(async {
         let reader = Engine::start("r1", "reader").await;
         let writers = [
             Engine::start("w1", "writer").await,
@@ -553,16 +571,20 @@
         writers.iter().for_each(|writer| writer.mode.set(Mode::Silent));
         let discovery = Discovery::start(&[&reader, &writers[0], &writers[1], &writers[2]]).await;
         // These limits allow eight clients and eight connections to engines.
-        let daemon = Daemon::within(json!({"memory_mb": 64, "sockets": 64}), &discovery, None).await;
+        let daemon = Daemon::with_limits(json!({"memory_mb": 64, "sockets": 64}), &discovery, None).await;
         let address = daemon.address;
         let requests: Vec<_> = (0..8)
             .map(|n| spawn_local(async move { chat(address, &format!("a{n}"), "correction", 9000).await }))
             .collect();
-        until("the reader has got seven attempts", async || reader.count("/v1/") >= 7).await;
+        wait_until("the reader has received seven attempts", async || reader.count("/v1/") >= 7).await;
         // The limit in the settings, and the 300 ms that the protocol adds to it.
         tokio::time::sleep(Duration::from_millis(300 + 300)).await;
-        let ids: Vec<_> =
-            reader.seen.borrow().iter().filter_map(|seen| seen.headers.get("req-id").cloned()).collect();
+        let ids: Vec<_> = reader
+            .received
+            .borrow()
+            .iter()
+            .filter_map(|request| request.headers.get("req-id").cloned())
+            .collect();
         for id in ids {
             let path = format!("/state/{id}");
             let released =
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -6,85 +6,86 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-// A gateway that was given another discovery address stayed
-// at the old one and sent to engines that were long gone.
+// A gateway that was given another discovery address kept the old one and sent requests to engines that no
+// longer existed.
 #[tokio::test]
 async fn watch_moves_without_a_gap() {
-    local(async {
+    run_local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let writer = Engine::start("w1", "writer").await;
-        let old = Discovery::start(&[&r1, &writer]).await;
-        let daemon = Daemon::start(&old, None).await;
-        let ask = async |id: &str| chat(daemon.address, id, "lookup", 9000).await.status;
+        let old_discovery = Discovery::start(&[&r1, &writer]).await;
+        let daemon = Daemon::start(&old_discovery, None).await;
+        let chat_status = async |id: &str| chat(daemon.address, id, "lookup", 9000).await.status;
 
         // No process listens at the new address: the current list and the old watch stay in use.
         daemon.move_discovery(closed_port().await).await;
-        assert_eq!(ask("a1").await, 200);
-        old.add(&r2);
-        old.set(&r1, "DRAINING");
+        assert_eq!(chat_status("a1").await, 200);
+        old_discovery.add(&r2);
+        old_discovery.set_state(&r1, "DRAINING");
         let mut n = 0;
         let sent_to_second = async || {
             n += 1;
-            assert_eq!(ask(&format!("b{n}")).await, 200);
+            assert_eq!(chat_status(&format!("b{n}")).await, 200);
             r2.count("/v1/") > 0
         };
-        until("the old watch is followed", sent_to_second).await;
+        wait_until("the old watch is followed", sent_to_second).await;
 
         // An invalid file changes nothing and stops nothing.
-        daemon.reread("{").await;
-        assert_eq!(ask("c1").await, 200);
+        daemon.reload("{").await;
+        assert_eq!(chat_status("c1").await, 200);
 
         // The new server lists an engine that the old one never listed, and not all of the old ones.
         let r3 = Engine::start("r3", "reader").await;
-        let new = Discovery::at(9, vec![r3.target("SERVING"), writer.target("SERVING")]).await;
-        daemon.move_discovery(new.address).await;
+        let new_discovery =
+            Discovery::with_revision(9, vec![r3.target("SERVING"), writer.target("SERVING")]).await;
+        daemon.move_discovery(new_discovery.address).await;
         let sent_to_third = async || {
             n += 1;
-            assert_eq!(ask(&format!("d{n}")).await, 200);
+            assert_eq!(chat_status(&format!("d{n}")).await, 200);
             r3.count("/v1/") > 0
         };
-        until("the new watch is followed", sent_to_third).await;
-        old.set(&r2, "SERVING");
+        wait_until("the new watch is followed", sent_to_third).await;
+        old_discovery.set_state(&r2, "SERVING");
         for n in 0..8 {
-            assert_eq!(ask(&format!("e{n}")).await, 200);
+            assert_eq!(chat_status(&format!("e{n}")).await, 200);
         }
         assert!(r3.count("/v1/") >= 8, "the old watch is still followed");
     })
     .await;
 }
 
-// The first response of a new address was accepted as a whole list whatever it held: an agent that had just
-// started, with no list or an old one, took every engine out of use and brought drained engines back.
+// The first response of a new address was accepted as a full list whatever it held: an agent that had just
+// started, with no list or an old one, took every engine out of use and put drained engines back into use.
 #[tokio::test]
 async fn address_with_an_older_revision_removes_no_engine_and_brings_none_back() {
-    local(async {
+    run_local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let (r3, writer) = (Engine::start("r3", "reader").await, Engine::start("w1", "writer").await);
         let serving = |engines: &[&Engine]| engines.iter().map(|e| e.target("SERVING")).collect::<Vec<_>>();
-        let old = Discovery::at(40, serving(&[&r1, &r2, &writer])).await;
-        let daemon = Daemon::start(&old, None).await;
+        let old_discovery = Discovery::with_revision(40, serving(&[&r1, &r2, &writer])).await;
+        let daemon = Daemon::start(&old_discovery, None).await;
         let mut n = 0;
-        let mut ask = async || {
+        let mut send_chat = async || {
             n += 1;
             assert_eq!(chat(daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
         };
-        let drained = old.set(&r1, "DRAINING");
-        until("the drain is announced", async || old.has_told(drained)).await;
+        let drain_revision = old_discovery.set_state(&r1, "DRAINING");
+        wait_until("the drain is announced", async || old_discovery.has_announced(drain_revision)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         let count_before = r1.count("/v1/");
 
         // An empty list, then a list from before the drain that lacks an engine, then one with a drain.
-        let empty = Discovery::at(1, Vec::new()).await;
-        daemon.move_discovery(empty.address).await;
-        until("the empty list is sent", async || empty.has_told(1)).await;
+        let empty_discovery = Discovery::with_revision(1, Vec::new()).await;
+        daemon.move_discovery(empty_discovery.address).await;
+        wait_until("the empty list is sent", async || empty_discovery.has_announced(1)).await;
         for _ in 0..8 {
-            ask().await;
+            send_chat().await;
         }
-        let lagging = Discovery::at(30, serving(&[&r1, &r3, &writer])).await;
-        daemon.move_discovery(lagging.address).await;
-        until("the older list is sent", async || lagging.has_told(30)).await;
+        let lagging_discovery = Discovery::with_revision(30, serving(&[&r1, &r3, &writer])).await;
+        daemon.move_discovery(lagging_discovery.address).await;
+        wait_until("the older list is sent", async || lagging_discovery.has_announced(30)).await;
         for _ in 0..8 {
-            ask().await;
+            send_chat().await;
         }
         assert_eq!(
             (r1.count("/v1/"), r3.count("/v1/")),
@@ -95,36 +96,39 @@
         // The new address catches up: its changes are accepted
         // from then on, and the old address is no longer followed.
         for _ in 0..10 {
-            lagging.set(&r1, "DRAINING");
+            lagging_discovery.set_state(&r1, "DRAINING");
         }
-        lagging.add(&r3);
+        lagging_discovery.add(&r3);
         let mut caught_up = async || {
-            ask().await;
+            send_chat().await;
             r3.count("/v1/") > 0
         };
-        until("the new address has caught up", &mut caught_up).await;
+        wait_until("the new address has caught up", &mut caught_up).await;
         assert_eq!(r1.count("/v1/"), count_before);
     })
     .await;
 }
 
-// Revisions start again when discovery is set up anew: its engines were never taken into use.
+// Revisions start again when discovery is set up from scratch. The gateway never used the engines of the new
+// list.
 #[tokio::test]
 async fn address_that_keeps_an_older_revision_is_accepted() {
-    local(async {
+    run_local(async {
         let (r1, r2) = (Engine::start("r1", "reader").await, Engine::start("r2", "reader").await);
         let writer = Engine::start("w1", "writer").await;
-        let old = Discovery::at(40, vec![r1.target("SERVING"), writer.target("SERVING")]).await;
-        let daemon = Daemon::start(&old, None).await;
-        let new = Discovery::at(3, vec![r2.target("SERVING"), writer.target("SERVING")]).await;
-        daemon.move_discovery(new.address).await;
+        let old_discovery =
+            Discovery::with_revision(40, vec![r1.target("SERVING"), writer.target("SERVING")]).await;
+        let daemon = Daemon::start(&old_discovery, None).await;
+        let new_discovery =
+            Discovery::with_revision(3, vec![r2.target("SERVING"), writer.target("SERVING")]).await;
+        daemon.move_discovery(new_discovery.address).await;
         let mut n = 0;
         let mut followed = async || {
             n += 1;
             assert_eq!(chat(daemon.address, &format!("a{n}"), "lookup", 9000).await.status, 200);
             r2.count("/v1/") > 0
         };
-        until("the new address is followed", &mut followed).await;
+        wait_until("the new address is followed", &mut followed).await;
     })
     .await;
 }
@@ -137,10 +141,10 @@
 #[case::only_stopped(&[])]
 #[tokio::test]
 async fn reloads_in_a_row_and_a_shutdown_right_after_lose_nothing(#[case] reloads: &[&str]) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
-        let old = Discovery::start(&[&reader, &writer]).await;
-        let daemon = Daemon::start(&old, None).await;
+        let old_discovery = Discovery::start(&[&reader, &writer]).await;
+        let daemon = Daemon::start(&old_discovery, None).await;
         let unreachable = closed_port().await;
         let address = daemon.address;
         let ids = (0..8).map(|n| format!("a{n}"));
@@ -148,19 +152,19 @@
             .map(|id| spawn_local(async move { chat(address, &id, "lookup", 9000).await.status }))
             .collect();
         // Each request reaches its first engine before the reloads.
-        until("the requests reach the reader", async || reader.count("/v1/") == 8).await;
+        wait_until("the requests reach the reader", async || reader.count("/v1/") == 8).await;
         for reload in reloads {
             match *reload {
                 "away" => daemon.move_discovery(unreachable).await,
-                "back" => daemon.move_discovery(old.address).await,
-                _ => daemon.reread(r#"{"listen":"#).await,
+                "back" => daemon.move_discovery(old_discovery.address).await,
+                _ => daemon.reload(r#"{"listen":"#).await,
             }
         }
         daemon.stop.notify_one();
         for answer in responses {
             assert_eq!(answer.await.expect("the client task ends"), 200);
         }
-        tokio::time::timeout(Duration::from_secs(15), daemon.ended)
+        tokio::time::timeout(Duration::from_secs(15), daemon.task)
             .await
             .expect("the daemon ends within the time limit")
             .expect("the daemon ends without an error");
@@ -176,21 +180,21 @@
 #[case::no_reload(&[], false)]
 #[tokio::test]
 async fn reloads_before_the_first_list(#[case] reloads: &[&str], #[case] serves: bool) {
-    local(async {
+    run_local(async {
         let (reader, writer) = (Engine::start("r1", "reader").await, Engine::start("w1", "writer").await);
         let discovery = Discovery::start(&[&reader, &writer]).await;
         let unreachable = closed_port().await;
-        let daemon = Daemon::before_its_list(json!({}), unreachable, None).await;
+        let daemon = Daemon::without_list(json!({}), unreachable, None).await;
         assert!(!daemon.is_ready().await);
         for reload in reloads {
             match *reload {
                 "away" => daemon.move_discovery(closed_port().await).await,
                 "there" => daemon.move_discovery(discovery.address).await,
-                _ => daemon.reread(r#"{"listen":"#).await,
+                _ => daemon.reload(r#"{"listen":"#).await,
             }
         }
         if serves {
-            until("the daemon is ready", async || daemon.is_ready().await).await;
+            wait_until("the daemon is ready", async || daemon.is_ready().await).await;
             assert_eq!(chat(daemon.address, "a1", "lookup", 9000).await.status, 200);
         } else {
             // The request waits for an engine no longer than its
@@ -199,8 +203,10 @@
             assert!((400..600).contains(&answer.status), "{}", answer.status);
         }
         daemon.stop.notify_one();
-        let ended = tokio::time::timeout(Duration::from_secs(15), daemon.ended).await;
-        ended.expect("the daemon ends within the time limit").expect("the daemon ends without an error");
+        let task_result = tokio::time::timeout(Duration::from_secs(15), daemon.task).await;
+        task_result
+            .expect("the daemon ends within the time limit")
+            .expect("the daemon ends without an error");
     })
     .await;
 }
