--- a/src/choice.rs
+++ b/src/choice.rs
@@ -2,7 +2,7 @@
 //!
 //! Requests that have not been read yet wait in this router's queue. They leave earliest deadline
 //! first, by their slack: the time from the predicted first token to the first-token target. Requests
-//! that are nearly late are sent to priority readers. Requests that cannot be answered in time are
+//! that are nearly late may use all priority readers. Requests that cannot be answered in time are
 //! refused before they are read. As soon as a prompt has been read, its request is sent to a writer.
 
 use crate::interface::*;
@@ -38,8 +38,8 @@
 const PROMPT_CACHE_LIFETIME: Micros = 60_000_000;
 /// Share of a writer's memory that reads may be started for. Above this share, answers evict each other.
 const MAX_MEMORY_SHARE: f64 = 0.92;
-/// Maximum arrival rate of the fleet as a multiple of the rate that
-/// it is configured for. The rate includes clients that try again.
+/// Assumed maximum of the arrival rate of the fleet, with the repeated tries
+/// of clients, as a multiple of the rate that the fleet is configured for.
 const MAX_ARRIVAL_FACTOR: f64 = 4.0;
 /// Standard deviations by which the tokens of this router may exceed those of another router by chance.
 const CHANCE_DEVIATIONS: f64 = 2.0;
@@ -81,7 +81,8 @@
 const MEAN_PROMPT_SAMPLES: u32 = 200;
 /// Minimum period, in seconds, over which the arrival rate is measured.
 const MIN_RATE_PERIOD_S: f64 = 1.0;
-/// Seconds of its rate by which a tenant may run ahead before it is over its quota.
+/// Requests that a tenant may send ahead of its rate before
+/// it is over its quota, in seconds at that rate.
 const TENANT_BURST_S: f64 = 1.0;
 /// Weight of a new answer in the running mean of the first-token time.
 const FIRST_TOKEN_WEIGHT: f64 = 0.1;
@@ -276,7 +277,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct InFlight {
     reads: usize,
-    /// Predicted time of all reads in flight, in seconds.
+    /// Seconds that the reads in flight, and the prompts that the
+    /// server reads for requests without a state, add to its queue.
     backlog_s: f64,
     attempts: usize,
     /// Number of attempts that have no first token yet and are not cancelled.
@@ -301,7 +303,8 @@
     /// Mean time from a send to a writer to its first token, in seconds.
     first_token_s: f64,
     tenant_buckets: Vec<LeakyBucket>,
-    /// Tokens assumed to be cached, and the time of the read, by session or prefix hash and reader.
+    /// Tokens assumed to be cached, and the time at which their
+    /// read was sent, by session or prefix hash and reader.
     cached_tokens: BTreeMap<(u64, ServerId), (f64, Micros)>,
     /// Prefix hashes and arrival times of the last requests, the latest first.
     recent_prefixes: VecDeque<(u64, Micros)>,
@@ -311,7 +314,8 @@
     /// since its last answer. A connection timeout counts as several refusals.
     zone_failures: BTreeMap<u32, (Backoff, u32)>,
     /// Number of reads cancelled as overdue, less a fraction of the attempts that ended
-    /// well. Each cancelled read is read again elsewhere, which would feed congestion.
+    /// well. While this is 1 or more, no read is cancelled as overdue: each cancelled
+    /// read is read again elsewhere, and would add to the congestion that delayed it.
     cancelled_reads: f64,
     is_timer_set: bool,
     is_roster_requested: bool,
@@ -987,14 +991,15 @@
 
     /// Returns the ready readers in the request's order of preference, and the number of
     /// preferred readers at its start. Preferred readers keep the request's prefix in
-    /// their cache. All routers of a zone compute the same order, by rendezvous hashing.
+    /// their cache. By rendezvous hashing, all routers of a zone that
+    /// compute the same number of preferred readers compute the same order.
     fn preferred_readers(&self, request: &Request) -> (Vec<ServerId>, usize) {
         let mut order: Vec<_> = self.ready_servers(true).collect();
         let by_session = |(id, _): &(ServerId, &Server)| hash_pair(request.session_hash, u64::from(id.0));
         let is_remote = |s: &Server| s.entry.zone != self.settings.zone;
         let local_readers = order.iter().filter(|(_, s)| !is_remote(s)).count();
-        // The number of preferred readers grows with the share of the recent requests that have
-        // the prefix: one for each equal part of the requests that a reader of the zone would get.
+        // The number of preferred readers grows with the share of the recent requests that have the prefix.
+        // With n ready readers in the zone, it is that share times n, rounded up, and at least 1.
         let same_prefix =
             self.recent_prefixes.iter().filter(|(hash, _)| *hash == request.prefix_hash).count();
         let count = (same_prefix * local_readers).div_ceil(RECENT_PREFIXES).max(1).min(local_readers);
@@ -1013,8 +1018,8 @@
     }
 
     /// Returns the peer group of a server: its zone, and whether the server is
-    /// in slow start. Slow start admits only a part of the requests, so that
-    /// the queues of such servers are shorter than those of warm servers.
+    /// in slow start. Slow start admits only a part of the requests, so that the
+    /// waits at such servers say nothing about the waits at warm servers.
     fn peer_group(&self, server: &Server) -> (u32, bool) {
         (server.entry.zone, self.warmth(server) < 1.0)
     }
@@ -1077,8 +1082,9 @@
         }
     }
 
-    /// Returns the reader with the lowest expected duration for the request, or none
-    /// if the request has to wait for a writer or for a reader below its limit.
+    /// Returns the reader with the lowest expected duration for the request, or none if the request has to
+    /// wait for a writer or for a reader below its limit. Where no reader is listed, a server that reads and
+    /// writes is chosen instead.
     fn choose_reader(&self, id: &RequestId, slack_s: f64) -> Option<ServerId> {
         let request = &self.requests[id];
         if self.ready_servers(true).next().is_none() {
@@ -1097,11 +1103,12 @@
             as usize)
             .clamp(1, MAX_READS_PER_READER);
         estimates.retain(|r| reads_in_flight(r) < max_reads);
-        // A request may use all priority readers if its slack is less than the time
-        // of a full priority batch, or if every ordinary reader is at its limit.
+        // A request may use all priority readers if its slack is less than the time of a full
+        // priority batch plus a margin, or if every ordinary reader is at its limit.
         let batch_s = self.read_time.predict(self.read_time.mean_quantity() * MAX_READS_PER_READER as f64);
         if slack_s >= batch_s + OFFLOAD_MARGIN_S && estimates.iter().any(|r| !priority.contains(&r.server)) {
-            // Any other request may use only priority readers at which this router has no read in flight.
+            // Any other request may use the ordinary readers, and the
+            // priority readers at which this router has no read in flight.
             estimates.retain(|r| !priority.contains(&r.server) || reads_in_flight(r) == 0);
         }
         let is_remote = |r: &ReadEstimate| self.servers[&r.server].entry.zone != self.settings.zone;
@@ -1117,7 +1124,8 @@
     }
 
     /// Returns a server that reads and writes the request by itself, where no
-    /// reader is listed. A server gets as many requests as its memory holds.
+    /// reader is listed. A server that has attempts of this router in flight gets
+    /// another request only if few of them are unanswered and its memory suffices.
     fn choose_mixed_server(&self, request: &Request) -> Option<ServerId> {
         let mut servers = self.candidates(request, false);
         servers.retain(|s| {
@@ -1222,8 +1230,9 @@
         }
     }
 
-    /// Estimates the share of its memory that each writer holds: the reported share or, without
-    /// a recent report, the share estimated from this router's requests now and in the past.
+    /// Estimates the share of its memory that each writer uses: the reported share or, if it is larger,
+    /// the share that the requests of this router need. Without a recent report, the share of all
+    /// routers is estimated from the requests that this router has in progress and had in the past.
     fn memory_shares(&self, writers: &[ServerId]) -> BTreeMap<ServerId, f64> {
         let mean_tokens = self.tokens_in_progress.mean() / self.ready_servers(false).count().max(1) as f64;
         let fleet_tokens = self.fleet_tokens();
@@ -1243,8 +1252,8 @@
         in_flight.unanswered < MAX_UNANSWERED_PER_WRITER && in_flight.max_age_s < MAX_UNANSWERED_AGE_S
     }
 
-    /// Returns true if a request may be read: writers that
-    /// are not busy have memory for the reads of all routers.
+    /// Returns true if a request may be read: writers that are not busy have memory for
+    /// the reads of all routers, or there is a writer and this router has nothing in flight.
     fn has_writer_room(&self, request: &Request) -> bool {
         let writers = self.candidates(request, false);
         let free_tokens = |(id, share): (ServerId, f64)| {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -264,7 +264,8 @@
     Reset,
     /// The attempt was cancelled. The request may have run.
     Cancelled,
-    /// The request was never sent to the server.
+    /// The request was never sent to the server, or the server rejected it as invalid without
+    /// running it. The outcome says nothing about the health or the speed of the server.
     NeverSent,
 }
 
--- a/src/numeric.rs
+++ b/src/numeric.rs
@@ -109,8 +109,8 @@
 }
 
 impl Backoff {
-    /// Records a failure and starts a pause. Only one failure counts
-    /// during a pause, because failures at the same time have one cause.
+    /// Records a failure and starts a pause. A failure during a pause
+    /// does not count, because failures at the same time have one cause.
     pub fn fail(&mut self, now: Micros, first_pause: Micros, max_pause: Micros) {
         if now >= self.paused_until {
             self.paused_until = now + (first_pause << self.failures.min(8)).min(max_pause);
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -3,8 +3,9 @@
 //! The budget of a server is the number of calls of mean work that all routers together may
 //! send to the server in any sliding window. Each router has an equal quota of the budget and
 //! counts only its own sends, so that the budget holds whatever the other routers do. A random
-//! admission for each call keeps the usual number of calls well below the budget. Where the
-//! quota of a router is less than two calls, only the random admission limits the calls.
+//! admission for each call, by a hash of the call and the server, keeps the usual number of calls
+//! well below the budget. Where the quota of a router is less than two calls, or than the work of
+//! the call, only the random admission limits the calls.
 
 /// Fraction of the regular calls that admission targets. The rest allows for random variation.
 const TARGET_FRACTION: f64 = 0.6;
@@ -16,8 +17,8 @@
 /// Standard deviations by which the sum of admitted calls is
 /// kept below the budget where only random admission limits it.
 const BUDGET_MARGIN_DEVIATIONS: f64 = 2.5;
-/// Minimum quota, in calls, that limits a router. A smaller
-/// quota limits the calls less than random admission does.
+/// Minimum quota, in calls, that limits a router. A smaller quota, rounded down to
+/// whole calls, is too coarse to be of use, and only random admission limits the calls.
 const MIN_QUOTA: f64 = 2.0;
 /// Number of regular calls from which the smaller allowance for chance applies.
 const MANY_CALLS: f64 = 30.0;
@@ -33,7 +34,7 @@
 }
 
 /// Returns the number of calls that each of the routers may send in a window, from the number
-/// of regular calls in a window. Returns `None` if the quota is too small to limit the calls.
+/// of regular calls in a window. Returns `None` if the quota is below `MIN_QUOTA`.
 pub fn quota(calls: f64, routers: f64) -> Option<f64> {
     let quota = (checked_budget(calls) / routers).floor();
     (quota >= MIN_QUOTA).then_some(quota)
@@ -60,7 +61,7 @@
     pub is_new: bool,
     /// Fraction of such calls that would add up to the regular calls if the fleet were at its capacity.
     pub fraction: f64,
-    /// Capacity of the fleet as a multiple of the arrivals that this router sees.
+    /// This router's equal part of the capacity of the fleet, as a multiple of its own arrival rate.
     pub headroom: f64,
     /// Confidence in the headroom, from 0 to 1.
     pub headroom_confidence: f64,
