--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -24,7 +24,7 @@
 /// An idempotency key and a fingerprint, which must be the same for all requests under the key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Key {
-    /// The key, unique per client.
+    /// The key, made unique for its client: the keys that two clients choose may be equal.
     pub key: Arc<str>,
     /// Hash of the content of the request.
     pub fingerprint: u64,
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -78,8 +78,8 @@
                 (Status::NeverSent, 0.0)
             }
             Reply::Read { cached_tokens } if is_read => (Status::Read, cached_tokens),
-            // Only a reader may answer that a prompt is read. It is unknown what the writer did, so the
-            // attempt counts as an error.
+            // Only a reader may answer that a prompt is read. It is unknown what another engine did that
+            // answers so, and the attempt counts as an error.
             Reply::Read { .. } => (Status::Error, 0.0),
             Reply::Rejected { no_state } => (Status::Rejected, f64::from(u8::from(no_state))),
             Reply::Error => (Status::Error, 0.0),
--- a/src/gateway/driver.rs
+++ b/src/gateway/driver.rs
@@ -238,8 +238,8 @@
             return;
         };
         request.answered = true;
-        // This also applies where attempts may not be cancelled: an attempt that has not been written yet
-        // must not begin.
+        // The client is marked as gone even if the settings do not allow cancelling attempts: an attempt that
+        // has not been written yet must not begin.
         request.lifecycle.mark_client_left();
         self.accounting.record_abandoned();
         self.maybe_finished.push(id.clone());
@@ -274,8 +274,8 @@
         }
     }
 
-    /// Limits the deadline of every open request to the end of the shutdown, as for requests that arrive from
-    /// now on. No request may be unanswered, and no state held, when the process ends.
+    /// Limits the deadline of every open request to the answer deadline of the shutdown, as for requests that
+    /// arrive from now on. No request may be unanswered, and no state held, when the process ends.
     pub(super) fn handle_shutdown(&mut self, schedule: ShutdownSchedule) {
         let remaining = schedule.answer_deadline.saturating_duration_since(Instant::now());
         let time_left = remaining.as_micros() as Micros;
--- a/src/gateway/figures.rs
+++ b/src/gateway/figures.rs
@@ -2,14 +2,15 @@
 
 use std::cell::{Cell, RefCell};
 
-/// The result of a request.
+/// The result of a request. A request that its client abandoned has none; only the log counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestResult {
     /// The complete answer was served.
     Served,
     /// Refused: a retry is harmless.
     Refused,
-    /// Failed, or ended before the answer was complete.
+    /// Failed, invalid according to the engine, or broken off by the gateway or the engine before the answer
+    /// was complete.
     Failed,
 }
 
@@ -33,8 +34,8 @@
     pub open_requests: usize,
     /// Number of engines in the roster.
     pub listed_engines: usize,
-    /// Number of listed engines that currently get no requests, because an operator withholds them or the
-    /// decision module avoids them.
+    /// Number of listed engines that an operator withholds or the decision module avoids. Such an engine
+    /// gets no ordinary work.
     pub avoided_engines: usize,
 }
 
--- a/src/gateway/handle.rs
+++ b/src/gateway/handle.rs
@@ -80,8 +80,8 @@
         Ok(Ticket::new(awaited_id, number, answer_receiver, self.inbox.clone()))
     }
 
-    /// Starts the shutdown. Requests that arrive from now on are answered in time, and streamed answers are
-    /// handed off.
+    /// Starts the shutdown. Requests that arrive from now on are answered by the deadline of the schedule, or
+    /// rejected once the schedule accepts no more. Streamed answers are handed off if the schedule says so.
     pub fn shut_down(&self, schedule: ShutdownSchedule) {
         self.shutdown.set(Some(schedule));
         // The send fails only if the driver has stopped, and then no request is open.
@@ -100,7 +100,7 @@
         role_is_ready(Role::Both) || role_is_ready(Role::Read) && role_is_ready(Role::Write)
     }
 
-    /// Returns true if an engine of this name is listed or was listed recently.
+    /// Returns true if an engine of this name is listed or withheld, or is among those removed last.
     pub fn knows_engine(&self, name: &str) -> bool {
         self.roster.knows_engine(name)
     }
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -27,7 +27,7 @@
     KeyReused,
     /// A limit on open requests is reached.
     Busy,
-    /// The gateway is shutting down or has stopped.
+    /// The gateway has stopped, or is shutting down and accepts no more requests.
     Stopped,
 }
 
--- a/src/gateway/invariants.rs
+++ b/src/gateway/invariants.rs
@@ -2,7 +2,8 @@
 //!
 //! The guards prevent violations. Independent checks at the point of the action detect violations that the
 //! guards missed, using the times at which each fact became known. A violation is counted and logged with the
-//! ids concerned, and has no other effect.
+//! ids concerned; the report has no other effect. A further attempt or a refusal that is found to violate an
+//! invariant before it is sent is not sent.
 
 use super::metrics::Metrics;
 use crate::interface::RequestId;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -50,8 +50,8 @@
 /// never ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Nothing was sent to the engine: the send guard refused the attempt, because the engine drains or the
-    /// client has disconnected.
+    /// Nothing was sent to the engine, since the send guard refused the attempt; [`SendRefusal`] lists the
+    /// reasons.
     NotSent,
     /// No connection could be established.
     NotConnected,
@@ -110,7 +110,7 @@
     Error,
 }
 
-/// A reply, the load report that was sent with it, and the age of its connection.
+/// A reply, the load report that was sent with it, and the time at which its connection was established.
 #[derive(Debug)]
 pub struct EngineReply<S> {
     /// The reply.
@@ -154,7 +154,8 @@
         call: Call<Self::Job>,
     ) -> impl Future<Output = Result<EngineReply<Self::Events>, AttemptError>> + 'static;
 
-    /// Releases all states that are held for a request. Any engine accepts this call.
+    /// Releases all states that are held for a request. Any engine accepts this call, whichever engine holds
+    /// the states.
     fn release(
         &self,
         endpoint: Arc<str>,
@@ -164,8 +165,8 @@
     /// Asks an engine for its load.
     fn probe(&self, endpoint: Arc<str>) -> impl Future<Output = Result<Load, AttemptError>> + 'static;
 
-    /// Drops the connections and other resources of an endpoint, whose engine has left the roster or was
-    /// replaced.
+    /// Drops the idle connections and whatever else is kept for an endpoint. Called when the engine there has
+    /// left the roster, has restarted or has moved to another endpoint. Calls in flight are not ended.
     fn drop_endpoint(&self, endpoint: &str);
 }
 
@@ -184,7 +185,8 @@
     },
     /// Failed: it is unknown if a retry is harmless.
     Failed {
-        /// True if the deadline passed, false if an engine failed.
+        /// True if the request failed at its deadline or shortly before it; false if it failed for another
+        /// reason, such as the failure of an engine.
         timed_out: bool,
     },
 }
--- a/src/gateway/open_request.rs
+++ b/src/gateway/open_request.rs
@@ -53,7 +53,7 @@
     pub(super) attempts: Vec<Attempt>,
     /// Number of attempts in flight.
     pub(super) in_flight: usize,
-    /// True once the request has its final answer, or its client has disconnected.
+    /// True once the request has its final answer, or its client has abandoned it.
     pub(super) answered: bool,
     /// Times at which the client disconnected and the request was answered; checked before an attempt is
     /// written.
--- a/src/gateway/releases.rs
+++ b/src/gateway/releases.rs
@@ -1,4 +1,4 @@
-//! Releases the states and places that engines hold for a request.
+//! Releases the states that engines hold for a request.
 
 use super::driver::Driver;
 use super::invariants::{Invariant, Invariants};
--- a/src/gateway/roster.rs
+++ b/src/gateway/roster.rs
@@ -53,7 +53,8 @@
 /// Maximum number of names of removed engines that are kept, so that these engines are still known to have
 /// been listed.
 const MAX_FORMER_NAMES: usize = 1024;
-/// Time after which a removed server is deleted from the record of servers that must not be used.
+/// Time for which a removed server stays in the record of servers that must not be used. It counts from when
+/// the server was recorded there: from the drain, if the server drained before its removal.
 const UNREADY_RETENTION: Duration = Duration::from_secs(60);
 
 /// The current roster.
@@ -64,8 +65,8 @@
     withheld: RefCell<BTreeSet<Arc<str>>>,
     /// Names of removed engines, the oldest first.
     former_names: RefCell<VecDeque<Arc<str>>>,
-    /// Time since which each server must not be used, from when the gateway was notified. Removed servers
-    /// stay for `UNREADY_RETENTION`.
+    /// For each server that must not be used, the time at which the gateway was notified of that. Removed
+    /// servers stay for `UNREADY_RETENTION`.
     unready: RefCell<BTreeMap<ServerId, Instant>>,
     /// Start times of the listed servers whose start time is reported.
     starts: RefCell<BTreeMap<ServerId, Start>>,
@@ -82,8 +83,9 @@
 }
 
 impl Roster {
-    /// Applies an update. Returns the endpoints that are no longer used. A removed engine is deleted, since
-    /// another engine may use its endpoint from then on.
+    /// Applies an update. Returns the endpoints whose connections must be dropped, since the engine there was
+    /// removed, restarted or moved to another endpoint. A removed engine is deleted, since another engine may
+    /// use its endpoint from then on.
     pub(super) fn apply(&self, form: RosterForm, updates: &[ListedEngine]) -> Vec<Arc<str>> {
         let mut engines = self.engines.borrow_mut();
         let mut unused_endpoints = Vec::new();
@@ -183,7 +185,8 @@
         changed.map(|listed| self.effective_entry(listed)).collect()
     }
 
-    /// Returns true if an engine of this name is listed or was listed recently.
+    /// Returns true if an engine of this name is listed or withheld, or is among the last `MAX_FORMER_NAMES`
+    /// that were removed.
     pub(super) fn knows_engine(&self, name: &str) -> bool {
         let is_listed = self.engines.borrow().values().any(|listed| &*listed.name == name);
         is_listed
