--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -8,7 +8,8 @@
 
 /// Delay before the next accept after one that failed for lack of resources.
 pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Maximum number of accepts for one pending connection while the gateway closes its listener.
+/// Number of failed accepts in a row after which the connections that are still
+/// pending while the gateway closes its listener are abandoned.
 const MAX_ACCEPT_TRIES: usize = 25;
 
 /// The kind of a failed accept.
@@ -34,8 +35,8 @@
     }
 }
 
-/// Accepts a connection that is pending in the kernel, if any. The kernel is called directly, since the
-/// runtime may not have been notified of the connection yet.
+/// Accepts a connection that is pending in the kernel; returns `None` if there is none or accepts fail
+/// repeatedly. The kernel is called directly, since the runtime may not have been notified of it yet.
 pub(super) async fn accept_pending(listener: &TcpListener) -> Option<TcpStream> {
     for _ in 0..MAX_ACCEPT_TRIES {
         let accepted = SockRef::from(listener).accept().and_then(|(socket, _)| {
--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -29,11 +29,11 @@
 /// The list that is known when a watch is opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Opening {
-    /// None: without a list the gateway can serve no request.
+    /// No list: without one the gateway can serve no request.
     Blank,
-    /// A list from before the start.
+    /// A list that was known before this process started.
     Known,
-    /// The current list, and an address that was configured just now.
+    /// The current list; the address is a new one that is not followed yet.
     Moved,
 }
 
@@ -57,9 +57,10 @@
 const SERVICE_TIMEOUT: Duration = Duration::from_secs(4);
 /// The same timeout at an agent, which answers at once.
 const AGENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// First retry delay at a shared service.
+/// Mean of the first retry delay at a shared service. Each delay is random, between half of its
+/// mean and one and a half times its mean, and shorter where `MAX_CALL_INTERVAL` requires that.
 const FIRST_DELAY: Duration = Duration::from_secs(1);
-/// First and maximum retry delay at an agent, which only this gateway
+/// Means of the first and of the longest retry delay at an agent, which only this gateway
 /// calls. A watch counts as uninterrupted if it is renewed within 200 ms.
 const AGENT_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
 
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -180,7 +180,7 @@
         self.close_request.notify_one();
     }
 
-    /// Closes the connection so that a waiting connection can take its slot at once.
+    /// Asks the connection to close so that a waiting connection can take its slot at once.
     pub(super) fn close_for_new_connection(&self) {
         self.slot_awaited.set(true);
         self.request_close();
@@ -197,8 +197,8 @@
         self.slot_awaited.set(false);
     }
 
-    /// Returns how long the connection has been idle, or
-    /// `None` if a request is being answered or it is closing.
+    /// Returns how long the connection has been idle, or `None`
+    /// if a request is being answered or the connection is closing.
     pub(super) fn idle_time(&self) -> Option<Duration> {
         (!self.closing.get() && self.requests_in_progress.get() == 0)
             .then(|| self.last_activity.get().elapsed())
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -31,7 +31,7 @@
 const BEHIND_TIMEOUT: Duration = Duration::from_secs(6);
 /// Maximum size of a response, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// Size of a connection's read buffer, in bytes.
+/// Maximum size of a connection's read buffer, in bytes.
 const BUFFER_BYTES: usize = 64 << 10;
 
 /// A watch at one discovery address.
@@ -154,16 +154,16 @@
     known: Option<EngineList>,
     address: watch::Receiver<Arc<str>>,
     call_params: DiscoveryCallParams,
-    /// Sources with their numbers; once the newest has responded, all older ones are stopped.
+    /// Sources with their numbers, oldest first; once a list of one is accepted, all older ones are stopped.
     sources: Vec<(u64, AbortHandle)>,
     /// The number of the newest source.
     newest_source: u64,
     /// The revision of the last applied list, if any.
     revision: Option<u64>,
-    /// The newest source if its revision is older than the applied
-    /// one, and the time until which its list is rejected.
+    /// A source that reported a revision older than the applied one, and the time until
+    /// which its list is rejected. After that time it is accepted only if it is the newest source.
     behind: Option<(u64, Instant)>,
-    /// The source whose list is accepted whatever its revision.
+    /// The number of the source whose list is accepted whatever its revision, or 0.
     accepted_source: u64,
     lists: mpsc::Receiver<(u64, EngineList)>,
     list_sender: mpsc::Sender<(u64, EngineList)>,
@@ -225,8 +225,9 @@
         })
     }
 
-    /// Returns the part of an older response that is applied: drains are, whichever address reports them. It
-    /// puts no engine back into use and removes none that it lacks.
+    /// Returns the part of an older response that is applied: its drains and deletions of known engines are,
+    /// whichever address reports them. Such a response puts no engine back into use, and an engine that its
+    /// list lacks is not removed.
     fn change_from_older(
         &mut self,
         number: u64,
--- a/src/net/engines.rs
+++ b/src/net/engines.rs
@@ -18,7 +18,8 @@
 use std::task::{Context, Poll};
 use tokio::time::Instant;
 
-/// Maximum size of a response whose status alone matters, in bytes.
+/// Maximum size of a short response body, in bytes: that of a prefill step, a release or a probe,
+/// or of a decode step that was refused or failed.
 const MAX_STATUS_BODY_BYTES: usize = 64 << 10;
 
 /// How engines process a request.
@@ -30,7 +31,7 @@
     SingleStep {
         /// The name of the list in the response.
         list: &'static str,
-        /// Expected number of its entries; a response with fewer is incomplete.
+        /// Expected number of its entries; a response with any other number counts as incomplete.
         entries: usize,
     },
 }
@@ -115,8 +116,8 @@
     Ok(read.map_err(read_error)?.to_bytes())
 }
 
-/// Returns true if a response proves that its request never
-/// ran. The header has that meaning only with these statuses.
+/// Returns true if a response proves that its request never ran.
+/// The header `srv-declined` has that meaning only with these statuses.
 fn is_declined(status: StatusCode, headers: &HeaderMap) -> bool {
     let may_decline =
         matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE);
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -1,5 +1,5 @@
 //! A stream of server-sent events from an engine. Each event is validated
-//! before it is passed on, so that noise never reaches a client and a stream
+//! before it is passed on, so that invalid bytes never reach a client and a stream
 //! that is malformed at its start can still be tried at another engine.
 
 use bytes::{Bytes, BytesMut};
@@ -87,8 +87,8 @@
         while let Some((line, length)) = next_line(&text[offset..]) {
             offset += length;
             if line.is_empty() && lines == 0 {
-                // A blank line before an event belongs to it. A chunk
-                // with a wrong size also starts with a blank line.
+                // A blank line before an event is passed on only together with the event,
+                // since the invalid bytes after a chunk with a wrong size also start with one.
                 continue;
             }
             lines += 1;
@@ -109,7 +109,8 @@
         if may_become_line(&text[offset..]) { Ok(None) } else { Err("invalid line between events") }
     }
 
-    /// Ends the stream and returns the remaining bytes; an error unless they are only comments.
+    /// Ends the stream and returns the remaining bytes. Returns an error if no event
+    /// with data has arrived, or if the remaining bytes are more than comments.
     pub(super) fn end(&mut self) -> Result<Option<Bytes>, &'static str> {
         if !self.has_first_event {
             return Err("the response ended before its first event");
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -29,7 +29,7 @@
     pub min_idle: Duration,
 }
 
-/// Fraction of the maximum number of connections from which idle ones are closed to make room.
+/// Once this fraction of the maximum number of connections is open, idle ones are closed to make room.
 const CROWDED_FRACTION: f64 = 0.75;
 /// Minimum idle time before a connection without a request is closed
 /// to make room: until then its first request may be on its way.
@@ -81,7 +81,7 @@
         let over_limit = self.make_room();
         let max_open = self.limits.connections + self.limits.extra_connections;
         if self.open_count() >= max_open {
-            // A connection that was just asked to close does so in its own task.
+            // A connection that was just asked to close does so in its own task, which can run now.
             tokio::task::yield_now().await;
         }
         if self.open_count() >= max_open {
@@ -97,8 +97,8 @@
         if over_limit { Admission::OverLimit(registration) } else { Admission::Served(registration) }
     }
 
-    /// Closes the connection whose loss matters least if slots are scarce.
-    /// Returns true if the limit is reached and there is none to close.
+    /// If slots are scarce, asks the connection whose loss matters least to close.
+    /// Returns true if the limit is reached and no connection can be closed.
     fn make_room(&self) -> bool {
         let open = self.by_number.borrow();
         let staying = open.values().filter(|connection| !connection.is_closing()).count();
@@ -128,14 +128,15 @@
         }
     }
 
-    /// Closes all connections on which no request is being answered.
+    /// Asks all connections on which no request is being answered to close.
     pub(super) fn close_all(&self) {
         for connection in self.by_number.borrow().values().filter(|connection| !connection.is_answering()) {
             connection.request_close();
         }
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Asks the connections to close that have been idle for too long
+    /// or whose request has stalled or takes too long to arrive.
     pub(super) fn close_overdue(&self) {
         for connection in
             self.by_number.borrow().values().filter(|connection| connection.is_overdue(&self.limits))
--- a/src/net/heads.rs
+++ b/src/net/heads.rs
@@ -1,5 +1,6 @@
-//! Tracks where the requests on a client connection begin and end, from its raw bytes: after the HTTP parser
-//! has dropped one of two conflicting lengths, it no longer shows that there were two.
+//! Tracks where the requests on a client connection begin and end, from its raw bytes. If a head gives both a
+//! content length and a transfer encoding, which conflict, the HTTP parser drops one of them and no longer
+//! shows that there were two.
 
 use std::collections::VecDeque;
 
@@ -18,8 +19,8 @@
     Both,
 }
 
-#[derive(Debug, Default)]
 /// The position in the byte stream.
+#[derive(Debug, Default)]
 enum Position {
     #[default]
     Head,
@@ -127,8 +128,8 @@
     use super::*;
     use rstest::rstest;
 
-    // The HTTP parser keeps one of two lengths, depending on
-    // their order; both must be found here in either case.
+    // The HTTP parser keeps either the content length or the transfer encoding,
+    // depending on their order; both must be found here in either case.
     #[rstest]
     #[case::no_body("GET / HTTP/1.1\r\nA: b\r\n\r\n", &[Framing::Length], false)]
     #[case::length("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", &[Framing::Length], false)]
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -278,9 +278,9 @@
     request.headers().get("req-id").and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
 
-/// Waits until connections are to close after the response in progress and no
-/// request has arrived on this connection, completely or in part, since closing
-/// would reset it. A request that stalls times out as at any other time.
+/// Waits until connections are to close after the response in progress, and then until no request that
+/// has arrived on this connection, completely or in part, is still unread: closing would reset the connection
+/// and lose that request. A request that stalls times out as at any other time.
 async fn wait_for_graceful_close(phase: &mut watch::Receiver<Phase>, connection: &Connection) {
     // Without a sender, nothing ends the connections that are being served.
     if phase.wait_for(|phase| *phase == Phase::DrainClosing || phase.stops_accepting()).await.is_err() {
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,7 +1,7 @@
 //! Signals that request a planned shutdown or a reload of the configuration.
 //!
 //! The signal handlers only set flags, which a task polls. A pipe from the handler to the event loop would be
-//! one more socket to read, and a read may be interrupted.
+//! one more descriptor to read, and a read may be interrupted.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::flag;
--- a/src/net/transport.rs
+++ b/src/net/transport.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Meter {
     written: Cell<usize>,
-    /// Number of bytes of the blank line that ends the head that the last written bytes match.
+    /// Number of bytes at the start of `HEAD_END` that the bytes written last match.
     matched: Cell<usize>,
     /// Length of the head, once it was written.
     head_len: Cell<Option<usize>>,
@@ -82,7 +82,8 @@
     pub(super) meter: Rc<Meter>,
 }
 
-/// Returns true if the peer has closed the connection or sent unsolicited bytes.
+/// Returns true if the connection is closed or broken, or if received bytes are unread. On an
+/// idle connection to an engine such bytes are unsolicited, and the connection must not be reused.
 pub(super) fn is_stale(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     loop {
