--- a/src/bin/meadowlug-benchlink/wire.rs
+++ b/src/bin/meadowlug-benchlink/wire.rs
@@ -153,7 +153,8 @@
     Ok((form, line.optional("rows")?.unwrap_or(0)))
 }
 
-/// Parses an event other than a roster event. Returns `None` for an unknown message.
+/// Parses an event other than a roster event. Returns `None` for an unknown message, and for a timer whose
+/// token is no number.
 pub fn parse_event(line: &Line, fields: ReportFields) -> Result<Option<Event>, Malformed> {
     Ok(Some(match line.message {
         "JOB_IN" => Event::Request(Arrival {
--- a/src/config/bounds.rs
+++ b/src/config/bounds.rs
@@ -9,7 +9,7 @@
 const RESERVED_SOCKETS: usize = 24 + MANAGEMENT_CONNECTIONS.0 + MANAGEMENT_CONNECTIONS.1;
 /// Memory that the program uses without open connections or requests, in megabytes.
 const BASE_MEMORY_MB: u64 = 12;
-/// Maximum size of a request body, and of the bytes buffered for one request.
+/// Maximum size of a request body, and minimum of the limits on the bytes of several bodies.
 const MAX_BODY_BYTES: usize = 256 << 10;
 /// Minimum and maximum number of bytes buffered for one connection.
 const BUFFER_BYTES_RANGE: (usize, usize) = (8 << 10, 64 << 10);
@@ -51,7 +51,8 @@
     pub body_read_bytes: usize,
     /// Maximum number of bytes in the bodies of all open chat requests.
     pub open_chat_bytes: usize,
-    /// Maximum number of bytes in all open embeddings and rerank calls and in the answers kept for repeats.
+    /// Maximum number of bytes in the bodies of all open embeddings and rerank calls and in the answers kept
+    /// for repeats.
     pub inference_bytes: usize,
     /// Maximum size of an engine's answer that is buffered completely, in bytes.
     pub max_answer_bytes: usize,
--- a/src/config/inference.rs
+++ b/src/config/inference.rs
@@ -78,7 +78,8 @@
     /// Number of routers that share these engines, including this one.
     #[serde(default = "super::default_replicas")]
     pub replicas: u32,
-    /// Time for which the answer to a call with an idempotency key is kept for repeats, in milliseconds.
+    /// Maximum time for which the answer to a call with an idempotency key is kept for repeats, in
+    /// milliseconds. The oldest answers are dropped earlier if too many bytes are kept.
     #[serde(default = "default_keep_answers_ms")]
     pub keep_answers_ms: u64,
     /// One pool for each model.
@@ -115,7 +116,7 @@
         Ok(file)
     }
 
-    /// Time for which answers are kept for repeats.
+    /// Maximum time for which answers are kept for repeats.
     pub fn keep_answers(&self) -> Duration {
         Duration::from_millis(self.keep_answers_ms)
     }
--- a/src/config/list.rs
+++ b/src/config/list.rs
@@ -68,7 +68,8 @@
 }
 
 /// Assigns ids to engines. All gateways derive the same id from a uid unless the hashes of two uids collide.
-/// Ids of unlisted engines are removed, because new uids appear for as long as the gateway runs.
+/// Ids of unlisted engines are removed: new uids appear for as long as the gateway runs, and the tables would
+/// grow without limit.
 #[derive(Debug, Default)]
 pub struct ServerIds {
     by_uid: HashMap<String, u32>,
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Delays before a file that cannot be decoded is read again, because another process may be writing it.
+/// Delays before a file that cannot be read or decoded is read again, because another process may be writing
+/// it.
 const RETRY_DELAYS: [Duration; 3] =
     [Duration::from_millis(100), Duration::from_millis(400), Duration::from_millis(1000)];
 /// Maximum size of a file that is read, in bytes.
@@ -61,7 +62,8 @@
         self.read()
     }
 
-    /// Applies what may change in a running program. Returns the settings unless a change requires a restart.
+    /// Updates the discovery address. Returns the settings, or an error if a change in the file requires a
+    /// restart.
     fn apply(&self, config: Config) -> Result<Settings, ConfigError> {
         let restart_only = config.restart_only();
         let discovery = Arc::from(config.discovery);
--- a/src/config/shared.rs
+++ b/src/config/shared.rs
@@ -103,8 +103,9 @@
 
     /// Withholds an engine, or puts it back into use, and persists the command.
     pub fn withhold(&self, name: &str, withheld: bool) -> io::Result<()> {
-        // Another process's commands are adopted here only together with this one. If this write fails they
-        // stay unseen, so that the next poll still finds the difference and notifies the driver.
+        // Commands of another process are adopted here only if this command is persisted. If the write fails,
+        // `self.withheld` stays unchanged, so that the next poll finds the difference and the driver is
+        // notified.
         let mut names = self.persisted_engines()?.unwrap_or_else(|| self.withheld());
         if withheld {
             names.insert(name.into());
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -25,7 +25,8 @@
 const OPERATOR_STALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum time for receiving the head of an operator's request.
 const OPERATOR_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum number of bytes buffered for an operator's connection.
+/// Maximum number of bytes buffered for an operator's connection, and of bytes read ahead of the parser on
+/// all of these connections together.
 const OPERATOR_BUFFER_BYTES: usize = 8 << 10;
 /// One in this many engine connections is reserved for calls that release states.
 const RESERVED_CONNECTIONS_DIVISOR: usize = 16;
@@ -35,7 +36,8 @@
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum time for receiving the head of a client's request.
 const CLIENT_HEAD_TIMEOUT: Duration = Duration::from_secs(8);
-/// Minimum idle time between two requests before a client's connection is closed to make room for others.
+/// Minimum idle time between two requests before a client's connection is closed to make room for others,
+/// unless the maximum number of connections is reached.
 const CLIENT_MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum idle time between two requests on a client's connection.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -127,8 +129,9 @@
     }
 }
 
-/// Records that this process accepts clients, as soon as it can serve. Readiness is reported only afterwards,
-/// because an operator who sees this process ready may immediately stop the gateway's other process.
+/// Records that this process accepts clients, as soon as it can serve. The record lets the gateway's other
+/// process detect that it is superseded. Readiness is reported to operators only afterwards, because an
+/// operator who sees this process ready may immediately stop the other process.
 fn claim_when_ready(chat: &Gateway<HttpEngines>, shared: &config::SharedState) {
     let (chat, shared) = (chat.clone(), shared.clone());
     tokio::task::spawn_local(async move {
--- a/src/daemon/stop.rs
+++ b/src/daemon/stop.rs
@@ -5,10 +5,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Maximum request deadline that delays the kill. A process that was asked to stop is killed no sooner than
-/// after its longest request deadline, which counts as this duration if it is longer, plus `KILL_MARGIN`.
+/// Maximum for a request deadline in the computation of the kill time: a longer deadline counts as this
+/// duration. A process that was asked to stop is killed no sooner than after its longest counted deadline
+/// plus `KILL_MARGIN`.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Time between the longest counted deadline and the kill.
+/// Minimum time between the longest counted deadline and the kill.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// Time before the kill at which the last answer is given.
 const ANSWER_MARGIN: Duration = Duration::from_millis(300);
@@ -20,7 +21,7 @@
 /// Fraction of the longest counted deadline by which that time is extended.
 const SERVE_DEADLINE_FRACTION: f64 = 0.3;
 /// Maximum time for which requests are still accepted if clients do not request the rest of a broken answer.
-/// A request accepted later could still run when the process is killed; the protocol allows that for requests
+/// An answer could still be streaming when the process is killed. The protocol allows that only for requests
 /// that arrive within 0.7 s of the request to stop.
 const MAX_SERVE_WITHOUT_RESUME: Duration = Duration::from_millis(600);
 /// First and last time at which running answers are handed off to another gateway, as fractions of the time
@@ -30,7 +31,8 @@
 
 /// Times of the steps that follow a request to stop.
 pub(super) struct StopPlan {
-    /// Latest times for answering requests and for ending running answers.
+    /// Times until which requests are accepted and answered, and the period in which running answers are
+    /// handed off.
     pub(super) schedule: ShutdownSchedule,
     /// Time for which new connections and requests are still accepted.
     pub(super) serve_for: Duration,
--- a/src/front/inference.rs
+++ b/src/front/inference.rs
@@ -202,7 +202,8 @@
                 expires_in,
                 ..Arrival::default()
             },
-            // The gateway detects repeats by their key, so that at most one run of a call is sent at a time.
+            // The engine gets no key: the gateway itself detects repeats by their key, and sends at most one
+            // run of a call at a time.
             job: Job {
                 path,
                 body,
@@ -216,7 +217,8 @@
             Ok(ticket) => ticket,
             Err(rejected) => return reply::rejection(rejected),
         };
-        // A repeat waits for a call with another deadline, so the repeat's own deadline is applied here.
+        // A repeat waits for the answer to an earlier call with another deadline, so the repeat's own
+        // deadline is applied here.
         let result = tokio::time::timeout(Duration::from_micros(expires_in), ticket.answer()).await;
         reply::respond(result.unwrap_or(Answer::Failed { timed_out: true }))
     }
--- a/src/front/reply.rs
+++ b/src/front/reply.rs
@@ -7,7 +7,8 @@
 use hyper::header::{ALLOW, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// Retry delay sent to clients when the gateway has no capacity for a request, in microseconds.
+/// Retry delay sent to clients when the gateway has no capacity for a request or has stopped, in
+/// microseconds.
 const BUSY_RETRY: Micros = 500_000;
 
 /// Response with a complete body of the given content type.
