--- a/examples/decision-cost/main.rs
+++ b/examples/decision-cost/main.rs
@@ -45,7 +45,7 @@
 }
 
 fn main() {
-    println!("engines waiting microseconds an event");
+    println!("engines waiting microseconds per event");
     for engines in [100, 300, 1024] {
         for waiting in [0, 20, 400] {
             let mut router = router_with_queue(engines, waiting);
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -60,7 +60,7 @@
 const CANCELLATIONS_PER_SUCCESS: f64 = 0.1;
 /// Number of refused connections in a row that count against a zone as much as one connection
 /// timeout. A single refusal may just mean that the connection table of the server is full.
-const MAX_ZONE_REFUSALS: u32 = 3;
+const ZONE_REFUSAL_THRESHOLD: u32 = 3;
 /// Maximum time until the roster lists the restart of a server. The discovery protocol guarantees it.
 const RESTART_ANNOUNCEMENT_DELAY: Micros = 6_000_000;
 /// A failed dial that took longer than this, in seconds,
@@ -341,7 +341,7 @@
     /// without a class or without a server kind are refused.
     pub fn new(settings: Settings, _seed: u64) -> Result<Self, SettingsError> {
         if settings.classes.is_empty() || settings.roles.is_empty() {
-            return Err(SettingsError("no request class or no kind".into()));
+            return Err(SettingsError("no request class or no server kind".into()));
         }
         Ok(Self {
             replicas: f64::from(settings.replicas.max(1)),
@@ -613,7 +613,8 @@
         let (server, queued_s, sent_at) = (attempt.server, attempt.read_estimate.queued_s, attempt.sent_at);
         let duration_s = seconds(self.now - sent_at);
         let dial_timed_out = status == NoConnection && duration_s > MAX_REFUSAL_S;
-        let refusals = if dial_timed_out { MAX_ZONE_REFUSALS } else { u32::from(status == NoConnection) };
+        let refusals =
+            if dial_timed_out { ZONE_REFUSAL_THRESHOLD } else { u32::from(status == NoConnection) };
         let (phase, session_hash) = (request.phase, request.session_hash);
         let uncached = (request.arrival.prompt_tokens - status_detail).max(0.0) / 1000.0;
         self.record_load(server, &load);
@@ -733,7 +734,7 @@
         server.backoff.fail(self.now, INITIAL_BACKOFF, MAX_BACKOFF);
         let (zone_backoff, zone_refusals) = self.zone_failures.entry(server.entry.zone).or_default();
         *zone_refusals += refusals;
-        if refusals > 0 && *zone_refusals >= MAX_ZONE_REFUSALS {
+        if refusals > 0 && *zone_refusals >= ZONE_REFUSAL_THRESHOLD {
             zone_backoff.fail(self.now, INITIAL_BACKOFF, MAX_BACKOFF);
         }
     }
@@ -1072,7 +1073,7 @@
         queue.sort();
         queue.truncate(MAX_EVALUATED_REQUESTS);
         for (_, over_tenant_quota, slack, _, id) in queue {
-            if let Some(server) = self.choose_reader(&id, slack as f64 / 1e6) {
+            if let Some(server) = self.choose_first_server(&id, slack as f64 / 1e6) {
                 self.send(&id, server);
             } else if !self.await_probes(&id) && over_tenant_quota {
                 // Requests over the tenant's quota are the first to be given
@@ -1085,7 +1086,7 @@
     /// Returns the reader with the lowest expected duration for the request, or none if the request has to
     /// wait for a writer or for a reader below its limit. Where no reader is listed, a server that reads and
     /// writes is chosen instead.
-    fn choose_reader(&self, id: &RequestId, slack_s: f64) -> Option<ServerId> {
+    fn choose_first_server(&self, id: &RequestId, slack_s: f64) -> Option<ServerId> {
         let request = &self.requests[id];
         if self.ready_servers(true).next().is_none() {
             return self.choose_mixed_server(request);
--- a/src/config/bounds.rs
+++ b/src/config/bounds.rs
@@ -6,7 +6,7 @@
 const MANAGEMENT_CONNECTIONS: (usize, usize) = (16, 8);
 /// Number of file descriptors for other uses than client and engine connections: the runtime, the listeners,
 /// discovery, files and operators.
-const RESERVED_SOCKETS: usize = 24 + MANAGEMENT_CONNECTIONS.0 + MANAGEMENT_CONNECTIONS.1;
+const RESERVED_DESCRIPTORS: usize = 24 + MANAGEMENT_CONNECTIONS.0 + MANAGEMENT_CONNECTIONS.1;
 /// Memory that the program uses without open connections or requests, in megabytes.
 const BASE_MEMORY_MB: u64 = 12;
 /// Maximum size of a request body, and minimum of the limits on the bytes of several bodies.
@@ -36,7 +36,7 @@
     /// Maximum number of client connections. Typical clients need up to a third of the descriptors.
     pub client_connections: usize,
     /// Maximum number of further client connections, which are asked to retry later.
-    pub excess_client_connections: usize,
+    pub extra_client_connections: usize,
     /// Maximum number of operator connections, and of further ones that get an error response.
     pub management_connections: (usize, usize),
     /// Maximum number of connections to engines. An open request uses one.
@@ -60,14 +60,14 @@
 
 impl From<Resources> for Bounds {
     fn from(resources: Resources) -> Self {
-        let sockets = resources.sockets.max(64) - RESERVED_SOCKETS;
+        let sockets = resources.sockets.max(64) - RESERVED_DESCRIPTORS;
         let bytes = (resources.memory_mb.saturating_sub(BASE_MEMORY_MB).max(8) as usize) << 20;
         let client_connections = sockets * 54 / 100;
-        let excess_client_connections = sockets * 4 / 100;
-        let engine_connections = sockets - client_connections - excess_client_connections;
+        let extra_client_connections = sockets * 4 / 100;
+        let engine_connections = sockets - client_connections - extra_client_connections;
         Self {
             client_connections,
-            excess_client_connections,
+            extra_client_connections,
             management_connections: MANAGEMENT_CONNECTIONS,
             engine_connections,
             connection_buffer_bytes: (bytes / 4 / sockets).clamp(BUFFER_BYTES_RANGE.0, BUFFER_BYTES_RANGE.1),
@@ -99,9 +99,9 @@
         let bounds = Bounds::from(Resources { memory_mb, sockets });
         assert!(
             bounds.client_connections
-                + bounds.excess_client_connections
+                + bounds.extra_client_connections
                 + bounds.engine_connections
-                + RESERVED_SOCKETS
+                + RESERVED_DESCRIPTORS
                 <= sockets
         );
         assert!(bounds.client_connections > sockets / 3 && bounds.engine_connections > sockets / 3);
@@ -111,7 +111,7 @@
             + bounds.max_answer_bytes
             + bounds.read_ahead_bytes;
         let buffers = bounds.connection_buffer_bytes
-            * (bounds.client_connections + bounds.excess_client_connections + bounds.engine_connections);
+            * (bounds.client_connections + bounds.extra_client_connections + bounds.engine_connections);
         assert!(bytes + buffers <= ((memory_mb - BASE_MEMORY_MB) as usize) << 20);
         assert!(
             bounds.body_read_bytes >= 4 * MAX_BODY_BYTES,
--- a/src/config/reload.rs
+++ b/src/config/reload.rs
@@ -62,9 +62,9 @@
         self.read()
     }
 
-    /// Updates the discovery address. Returns the settings, or an error if a change in the file requires a
-    /// restart.
-    fn apply(&self, config: Config) -> Result<Settings, ConfigError> {
+    /// Updates the discovery address, even if another change in the file requires a restart. Returns the
+    /// settings, or an error if a restart is required.
+    fn check_and_update_discovery(&self, config: Config) -> Result<Settings, ConfigError> {
         let restart_only = config.restart_only();
         let discovery = Arc::from(config.discovery);
         self.discovery.send_if_modified(|current| {
@@ -84,7 +84,7 @@
     async fn next(&mut self) -> Option<Change> {
         loop {
             self.reload_requests.recv().await?;
-            match self.read_with_retries().await.and_then(|config| self.apply(config)) {
+            match self.read_with_retries().await.and_then(|config| self.check_and_update_discovery(config)) {
                 Ok(settings) => {
                     self.revision += 1;
                     return Some(Change {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -247,7 +247,7 @@
     log::info!("serving name={} listen={}", config.name, listener.local_addr()?);
     let limits = ServeLimits {
         connections: bounds.client_connections,
-        extra_connections: bounds.excess_client_connections,
+        extra_connections: bounds.extra_client_connections,
         buffer_bytes: bounds.connection_buffer_bytes,
         read_ahead_bytes: bounds.read_ahead_bytes,
         stall_timeout: CLIENT_STALL_TIMEOUT,
--- a/src/front/inference.rs
+++ b/src/front/inference.rs
@@ -1,6 +1,6 @@
 //! Embeddings and rerank APIs in their usual formats. They use the core of chat, with one driver per model.
 
-use super::intake::{BodyReader, CHARS_PER_TOKEN, ReceivedRequest, header_text, parse_duration};
+use super::intake::{BYTES_PER_TOKEN, BodyReader, ReceivedRequest, header_text, parse_duration};
 use super::reply;
 use crate::config::Api;
 use crate::gateway::{Answer, Gateway, Key, Submission};
@@ -84,8 +84,8 @@
     entries: usize,
 }
 
-fn estimate_tokens(chars: usize) -> usize {
-    chars.div_ceil(CHARS_PER_TOKEN)
+fn estimate_tokens(bytes: usize) -> usize {
+    bytes.div_ceil(BYTES_PER_TOKEN)
 }
 
 fn parse_embeddings(body: &[u8]) -> Result<CallSummary, String> {
--- a/src/front/intake.rs
+++ b/src/front/intake.rs
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Semaphore, watch};
 
-/// Average number of characters in a token, by which prompt lengths are estimated.
-pub(super) const CHARS_PER_TOKEN: usize = 4;
+/// Average number of bytes in a token, by which prompt lengths are estimated.
+pub(super) const BYTES_PER_TOKEN: usize = 4;
 /// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 256 << 10;
 /// Maximum time between two chunks of a request body.
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's protocol: chat requests whose headers carry the inputs of the decision module.
 
 use super::intake::{
-    BodyReader, CHARS_PER_TOKEN, ReceivedRequest, header_text, parse_duration, parse_request_id,
+    BYTES_PER_TOKEN, BodyReader, ReceivedRequest, header_text, parse_duration, parse_request_id,
 };
 use super::reply;
 use crate::config::{NameTables, index_of};
@@ -128,7 +128,7 @@
         expected_answer_time: header_text(headers, "req-cost")?
             .and_then(|text| text.parse::<f64>().ok())
             .map(|h| h as Micros),
-        prompt_tokens: body_bytes as f64 / CHARS_PER_TOKEN as f64,
+        prompt_tokens: body_bytes as f64 / BYTES_PER_TOKEN as f64,
         expires_in,
         resumed: header_text(headers, "req-retry")? == Some("again"),
         ..Arrival::default()
--- a/src/gateway/driver.rs
+++ b/src/gateway/driver.rs
@@ -259,7 +259,7 @@
                     log::debug!("listed uid={name} server={server:08x} {entry:?}");
                 }
                 for endpoint in self.roster.apply(form, &engines) {
-                    self.engines.drop_endpoint(&endpoint);
+                    self.engines.close_idle_connections(&endpoint);
                 }
                 let wall_now = (self.tuning.wall_clock)();
                 self.roster.record_starts(&engines, |time| self.clock.convert_unix_time(time, wall_now));
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -165,9 +165,10 @@
     /// Asks an engine for its load.
     fn probe(&self, endpoint: Arc<str>) -> impl Future<Output = Result<Load, AttemptError>> + 'static;
 
-    /// Drops the idle connections and whatever else is kept for an endpoint. Called when the engine there has
-    /// left the roster, has restarted or has moved to another endpoint. Calls in flight are not ended.
-    fn drop_endpoint(&self, endpoint: &str);
+    /// Closes the idle connections and drops whatever else is kept for an endpoint. Called when the engine
+    /// there has left the roster, has restarted or has moved to another endpoint. Calls in flight are
+    /// not ended.
+    fn close_idle_connections(&self, endpoint: &str);
 }
 
 /// The final answer of a request. Each request has exactly one.
--- a/src/gateway/roster.rs
+++ b/src/gateway/roster.rs
@@ -83,12 +83,12 @@
 }
 
 impl Roster {
-    /// Applies an update. Returns the endpoints whose connections must be dropped, since the engine there was
-    /// removed, restarted or moved to another endpoint. A removed engine is deleted, since another engine may
-    /// use its endpoint from then on.
+    /// Applies an update. Returns the endpoints whose idle connections must be closed, since the engine there
+    /// was removed, restarted or moved to another endpoint. A removed engine is deleted, since another engine
+    /// may use its endpoint from then on.
     pub(super) fn apply(&self, form: RosterForm, updates: &[ListedEngine]) -> Vec<Arc<str>> {
         let mut engines = self.engines.borrow_mut();
-        let mut unused_endpoints = Vec::new();
+        let mut endpoints_to_close = Vec::new();
         if form == RosterForm::Full {
             for listed in engines.values_mut() {
                 listed.entry.condition = Condition::Gone;
@@ -98,14 +98,14 @@
             if let Some(old) = engines.insert(new.entry.server, new.clone())
                 && (old.endpoint != new.endpoint || old.entry.started_at != new.entry.started_at)
             {
-                unused_endpoints.push(old.endpoint);
+                endpoints_to_close.push(old.endpoint);
             }
         }
         let mut former_names = self.former_names.borrow_mut();
         let mut removed = Vec::new();
         for (server, gone) in engines.extract_if(.., |_, listed| listed.entry.condition == Condition::Gone) {
             removed.push(server);
-            unused_endpoints.push(gone.endpoint);
+            endpoints_to_close.push(gone.endpoint);
             former_names.retain(|name| *name != gone.name);
             former_names.push_back(gone.name);
         }
@@ -113,7 +113,7 @@
         former_names.drain(..excess);
         drop(engines);
         self.update_unready(&removed);
-        unused_endpoints
+        endpoints_to_close
     }
 
     /// Records which servers must not be used from now on, including the removed servers.
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -10,7 +10,7 @@
 pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Number of failed accepts in a row after which the connections that are still
 /// pending while the gateway closes its listener are abandoned.
-const MAX_ACCEPT_TRIES: usize = 25;
+const MAX_ACCEPT_FAILURES: usize = 25;
 
 /// The kind of a failed accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 /// Accepts a connection that is pending in the kernel; returns `None` if there is none or accepts fail
 /// repeatedly. The kernel is called directly, since the runtime may not have been notified of it yet.
 pub(super) async fn accept_pending(listener: &TcpListener) -> Option<TcpStream> {
-    for _ in 0..MAX_ACCEPT_TRIES {
+    for _ in 0..MAX_ACCEPT_FAILURES {
         let accepted = SockRef::from(listener).accept().and_then(|(socket, _)| {
             socket.set_nonblocking(true)?;
             TcpStream::from_std(socket.into())
--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -30,11 +30,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Opening {
     /// No list: without one the gateway can serve no request.
-    Blank,
+    WithoutList,
     /// A list that was known before this process started.
-    Known,
+    WithList,
     /// The current list; the address is a new one that is not followed yet.
-    Moved,
+    NewAddress,
 }
 
 /// Duration per gateway over which the first calls at a shared service are spread. Such a call costs the
@@ -45,9 +45,9 @@
 /// Maximum duration over which first calls are spread, by opening. A change counts as announced 6 s after
 /// discovery had it and could be reached, whatever failed, and at a new address 4 s after the operator
 /// command (protocol); without a list the gateway accepts no client.
-const MAX_SPREAD_KNOWN: Duration = Duration::from_millis(4_500);
-const MAX_SPREAD_MOVED: Duration = Duration::from_secs(2);
-const MAX_SPREAD_BLANK: Duration = Duration::from_secs(1);
+const MAX_SPREAD_WITH_LIST: Duration = Duration::from_millis(4_500);
+const MAX_SPREAD_NEW_ADDRESS: Duration = Duration::from_secs(2);
+const MAX_SPREAD_WITHOUT_LIST: Duration = Duration::from_secs(1);
 /// Maximum time from the start of a failed call to the start of the next, however the call failed: a change
 /// counts as announced 6 s after discovery can be reached again, and a call may have failed just before that.
 const MAX_CALL_INTERVAL: Duration = Duration::from_millis(4_800);
@@ -59,19 +59,19 @@
 const AGENT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Mean of the first retry delay at a shared service. Each delay is random, between half of its
 /// mean and one and a half times its mean, and shorter where `MAX_CALL_INTERVAL` requires that.
-const FIRST_DELAY: Duration = Duration::from_secs(1);
+const FIRST_MEAN_DELAY: Duration = Duration::from_secs(1);
 /// Means of the first and of the longest retry delay at an agent, which only this gateway
 /// calls. A watch counts as uninterrupted if it is renewed within 200 ms.
-const AGENT_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
+const AGENT_MEAN_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
 
 /// Randomised delays between calls.
 #[derive(Debug)]
 pub(super) struct Backoff {
     first_call_spread: Duration,
-    max_first_spread: Duration,
+    max_spread_with_list: Duration,
     opening_timeout: Duration,
-    first_delay: Duration,
-    max_delay: Duration,
+    first_mean_delay: Duration,
+    max_mean_delay: Duration,
     failures: u32,
     rng: fastrand::Rng,
 }
@@ -80,24 +80,24 @@
     /// Creates the state of one watch; nothing carries over from an earlier watch.
     pub(super) fn new(params: DiscoveryCallParams) -> Self {
         let DiscoveryCallParams { shared, gateways, seed, announced_after } = params;
-        let (first_call_spread, opening_timeout, first_delay, max_delay) = if shared {
+        let (first_call_spread, opening_timeout, first_mean_delay, max_mean_delay) = if shared {
             (
                 FIRST_CALL_SPREAD_PER_GATEWAY.saturating_mul(gateways.saturating_sub(1)),
                 SERVICE_TIMEOUT,
-                FIRST_DELAY,
+                FIRST_MEAN_DELAY,
                 MAX_CALL_INTERVAL,
             )
         } else {
-            (Duration::ZERO, AGENT_TIMEOUT, AGENT_DELAYS.0, AGENT_DELAYS.1)
+            (Duration::ZERO, AGENT_TIMEOUT, AGENT_MEAN_DELAYS.0, AGENT_MEAN_DELAYS.1)
         };
-        let max_first_spread = announced_after.saturating_sub(CALL_GRACE).min(MAX_SPREAD_KNOWN);
+        let max_spread_with_list = announced_after.saturating_sub(CALL_GRACE).min(MAX_SPREAD_WITH_LIST);
         let rng = fastrand::Rng::with_seed(seed);
         Self {
             first_call_spread,
-            max_first_spread,
+            max_spread_with_list,
             opening_timeout,
-            first_delay,
-            max_delay,
+            first_mean_delay,
+            max_mean_delay,
             failures: 0,
             rng,
         }
@@ -111,9 +111,9 @@
     /// Returns the delay before the first call.
     pub(super) fn first_call_delay(&mut self, opening: Opening) -> Duration {
         let max_spread = match opening {
-            Opening::Blank => MAX_SPREAD_BLANK,
-            Opening::Known => self.max_first_spread,
-            Opening::Moved => MAX_SPREAD_MOVED.min(self.max_first_spread),
+            Opening::WithoutList => MAX_SPREAD_WITHOUT_LIST,
+            Opening::WithList => self.max_spread_with_list,
+            Opening::NewAddress => MAX_SPREAD_NEW_ADDRESS.min(self.max_spread_with_list),
         };
         self.first_call_spread.min(max_spread).mul_f64(self.rng.f64())
     }
@@ -126,7 +126,7 @@
     /// Records a failed call that took the given time. Returns the delay before
     /// the next call, and true if the failure is the first of an outage.
     pub(super) fn record_failure(&mut self, elapsed: Duration) -> (Duration, bool) {
-        let mean = self.first_delay.saturating_mul(1 << self.failures.min(16)).min(self.max_delay);
+        let mean = self.first_mean_delay.saturating_mul(1 << self.failures.min(16)).min(self.max_mean_delay);
         let first_failure = self.failures == 0;
         self.failures = self.failures.saturating_add(1);
         // Random, so that gateways that failed together do not
@@ -156,7 +156,7 @@
         let first_call = |n| {
             let seed = u64::from(n) + 1;
             let mut backoff = Backoff::new(call_params(true, gateways, seed));
-            (backoff.first_call_delay(Opening::Known).as_micros() as u64, backoff)
+            (backoff.first_call_delay(Opening::WithList).as_micros() as u64, backoff)
         };
         let mut pending: Vec<_> = (0..gateways).map(first_call).collect();
         let (mut calls, mut last, mut queue_end) = (0, 0, 0);
@@ -234,13 +234,13 @@
     }
 
     #[rstest]
-    #[case(false, 1024, AGENT_DELAYS)]
-    #[case(true, 1, (FIRST_DELAY, MAX_CALL_INTERVAL * 2 / 3))]
-    #[case(true, 1024, (FIRST_DELAY, MAX_CALL_INTERVAL * 2 / 3))]
+    #[case(false, 1024, AGENT_MEAN_DELAYS)]
+    #[case(true, 1, (FIRST_MEAN_DELAY, MAX_CALL_INTERVAL * 2 / 3))]
+    #[case(true, 1024, (FIRST_MEAN_DELAY, MAX_CALL_INTERVAL * 2 / 3))]
     fn delays_grow_to_their_maximum_and_are_reset_by_a_response(
         #[case] shared: bool,
         #[case] gateways: u32,
-        #[case] (shortest, max_delay): (Duration, Duration),
+        #[case] (shortest, max_mean_delay): (Duration, Duration),
     ) {
         let mut backoff = Backoff::new(call_params(shared, gateways, 7));
         let is_near = |delay: Duration, mean: Duration| delay >= mean / 2 && delay <= mean * 3 / 2;
@@ -249,12 +249,12 @@
             assert!(first && is_near(delay, shortest), "{delay:?}");
             for n in 1..80 {
                 let (delay, first) = backoff.record_failure(Duration::ZERO);
-                assert!(!first && (n < 5 || is_near(delay, max_delay)), "{delay:?}");
+                assert!(!first && (n < 5 || is_near(delay, max_mean_delay)), "{delay:?}");
             }
             assert_eq!(backoff.record_response(), 80);
         }
         assert!(
-            shared || backoff.first_call_delay(Opening::Known) == Duration::ZERO,
+            shared || backoff.first_call_delay(Opening::WithList) == Duration::ZERO,
             "the first call to an agent is delayed"
         );
     }
@@ -263,10 +263,10 @@
     // its first call there, though changes count as announced after 4 s; a
     // gateway without a list waited as long before it could serve anyone.
     #[rstest]
-    #[case::from_a_known_list(Opening::Known, 10, 4_000, 4_500)]
-    #[case::with_a_short_announcement_time(Opening::Known, 5, 2_000, 3_000)]
-    #[case::at_a_new_address(Opening::Moved, 10, 1_000, 2_000)]
-    #[case::without_a_list(Opening::Blank, 10, 500, 1_000)]
+    #[case::from_a_known_list(Opening::WithList, 10, 4_000, 4_500)]
+    #[case::with_a_short_announcement_time(Opening::WithList, 5, 2_000, 3_000)]
+    #[case::at_a_new_address(Opening::NewAddress, 10, 1_000, 2_000)]
+    #[case::without_a_list(Opening::WithoutList, 10, 500, 1_000)]
     fn first_calls_are_spread_within_their_maximum(
         #[case] opening: Opening,
         #[case] announced_after_s: u64,
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -3,7 +3,7 @@
 
 use super::eviction::ServeLimits;
 use super::heads::{Framing, Heads};
-use super::transport::{self, is_stale};
+use super::transport::{self, is_closed_or_has_input};
 use crate::gateway::{AttemptError, Progress};
 use bytes::BytesMut;
 use hyper::body::{Body, Frame, SizeHint};
@@ -62,8 +62,8 @@
     requests_in_progress: Cell<usize>,
     /// The id of the request that has no response yet.
     unanswered_id: RefCell<Option<Rc<str>>>,
-    /// True once a request has been handled on this connection.
-    has_served: Cell<bool>,
+    /// True once the head of a request has been received on this connection.
+    has_received_request: Cell<bool>,
     /// Time of the last received byte or the end of the last response.
     last_activity: Cell<Instant>,
     /// Time at which the request that is being received started.
@@ -86,7 +86,7 @@
             read_ended: Cell::new(false),
             requests_in_progress: Cell::new(0),
             unanswered_id: RefCell::default(),
-            has_served: Cell::new(false),
+            has_received_request: Cell::new(false),
             last_activity: Cell::new(now),
             request_started: Cell::new(now),
             closing: Cell::new(false),
@@ -121,14 +121,14 @@
         self.unanswered_id.borrow().clone().filter(|_| !self.read_ended.get())
     }
 
-    /// Returns true if a request was ever handled on this connection.
-    pub(super) fn has_served_request(&self) -> bool {
-        self.has_served.get()
+    /// Returns true if the head of a request was ever received on this connection.
+    pub(super) fn has_received_request(&self) -> bool {
+        self.has_received_request.get()
     }
 
     /// Returns true if received bytes are still unread or the client has closed the connection.
     pub(super) fn has_unread_input(&self) -> bool {
-        self.read_ended.get() || !self.read_ahead.borrow().is_empty() || is_stale(&self.stream)
+        self.read_ended.get() || !self.read_ahead.borrow().is_empty() || is_closed_or_has_input(&self.stream)
     }
 
     /// Waits until the client has disconnected. While a request is being
@@ -181,7 +181,7 @@
     }
 
     /// Asks the connection to close so that a waiting connection can take its slot at once.
-    pub(super) fn close_for_new_connection(&self) {
+    pub(super) fn request_close_for_new_connection(&self) {
         self.slot_awaited.set(true);
         self.request_close();
     }
@@ -210,7 +210,7 @@
             return idle_time >= limits.stall_timeout
                 || self.request_started.get().elapsed() >= limits.head_timeout;
         }
-        idle_time >= if self.has_served.get() { limits.idle_timeout } else { limits.stall_timeout }
+        idle_time >= if self.has_received_request.get() { limits.idle_timeout } else { limits.stall_timeout }
     }
 
     fn record_received(&self, bytes: &[u8]) {
@@ -237,7 +237,7 @@
     /// Registers a request with the given id on the connection.
     pub(super) fn new(connection: Rc<Connection>, id: &str) -> Self {
         connection.requests_in_progress.set(connection.requests_in_progress.get() + 1);
-        connection.has_served.set(true);
+        connection.has_received_request.set(true);
         connection.unanswered_id.replace(Some(Rc::from(id)));
         Self(connection)
     }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -195,7 +195,7 @@
             list_sender,
         };
         let known_revision = watch.known.as_ref().map(|known| known.revision);
-        watch.open_source(known_revision.map_or(Opening::Blank, |_| Opening::Known), known_revision);
+        watch.open_source(known_revision.map_or(Opening::WithoutList, |_| Opening::WithList), known_revision);
         watch
     }
 
@@ -260,7 +260,7 @@
             }
             *source != number
         });
-        self.open_source(Opening::Moved, None);
+        self.open_source(Opening::NewAddress, None);
         self.accepted_source = self.newest_source;
     }
 
@@ -304,7 +304,7 @@
                 Ok(()) = self.address.changed() => {
                     log::info!("discovery address changed to={}", *self.address.borrow());
                     // Without a list so far there is no revision to continue from.
-                    let opening = self.revision.map_or(Opening::Blank, |_| Opening::Moved);
+                    let opening = self.revision.map_or(Opening::WithoutList, |_| Opening::NewAddress);
                     self.open_source(opening, self.revision);
                 }
                 () = tokio::time::sleep_until(rejected_until), if self.behind.is_some() => self.accept_older_list(),
--- a/src/net/engines.rs
+++ b/src/net/engines.rs
@@ -20,7 +20,7 @@
 
 /// Maximum size of a short response body, in bytes: that of a prefill step, a release or a probe,
 /// or of a decode step that was refused or failed.
-const MAX_STATUS_BODY_BYTES: usize = 64 << 10;
+const MAX_SHORT_BODY_BYTES: usize = 64 << 10;
 
 /// How engines process a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -184,7 +184,7 @@
                 return Ok(EngineReply { reply: Reply::Events(events), load, connected_at });
             }
             let max_bytes = if call.job.processing == Processing::PrefillThenDecode {
-                MAX_STATUS_BODY_BYTES
+                MAX_SHORT_BODY_BYTES
             } else {
                 max_bytes
             };
@@ -211,7 +211,7 @@
             let mut channel = pool.acquire_for_release(&endpoint).await?;
             let response = channel.send(request, 0, WriteWatch::default()).await?;
             let status = response.status();
-            read_body(&channel, response.into_body(), MAX_STATUS_BODY_BYTES).await?;
+            read_body(&channel, response.into_body(), MAX_SHORT_BODY_BYTES).await?;
             pool.put_back(endpoint, channel);
             let rejected = || AttemptError::new(Progress::FullyWritten, format!("status {status}"));
             status.is_success().then_some(()).ok_or_else(rejected)
@@ -225,14 +225,14 @@
             let mut channel = pool.acquire(&endpoint).await?;
             let response = channel.send(request, 0, WriteWatch::default()).await?;
             let status = response.status();
-            let body = read_body(&channel, response.into_body(), MAX_STATUS_BODY_BYTES).await?;
+            let body = read_body(&channel, response.into_body(), MAX_SHORT_BODY_BYTES).await?;
             pool.put_back(endpoint, channel);
             let failed = || AttemptError::new(Progress::FullyWritten, format!("status {status}"));
             status.is_success().then(|| load_fields.parse(&body)).ok_or_else(failed)
         }
     }
 
-    fn drop_endpoint(&self, endpoint: &str) {
+    fn close_idle_connections(&self, endpoint: &str) {
         self.pool.close_idle_to(endpoint);
     }
 }
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -111,17 +111,17 @@
             let expired = *idle_time >= self.limits.min_idle;
             expired
                 || at_limit
-                    && (*idle_time >= MIN_IDLE_WITHOUT_REQUEST || connection.has_served_request())
+                    && (*idle_time >= MIN_IDLE_WITHOUT_REQUEST || connection.has_received_request())
                     && !connection.in_request()
         });
         // Order of preference: expired idle time, then connections
         // that never sent a request, then the longest idle.
         let least_needed = candidates.max_by_key(|(idle_time, connection)| {
-            (*idle_time >= self.limits.min_idle, !connection.has_served_request(), *idle_time)
+            (*idle_time >= self.limits.min_idle, !connection.has_received_request(), *idle_time)
         });
         match least_needed {
             Some((_, connection)) => {
-                connection.close_for_new_connection();
+                connection.request_close_for_new_connection();
                 false
             }
             None => at_limit,
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to engines: each carries one request at a
 //! time, idle ones are reused, and their number is bounded.
 
-use super::transport::{Meter, MeteredStream, WriteWatch, is_stale};
+use super::transport::{Meter, MeteredStream, WriteWatch, is_closed_or_has_input};
 use crate::gateway::{AttemptError, Progress};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -142,7 +142,7 @@
     ) -> Result<Channel, AttemptError> {
         while let Some(idle) = self.pop_reusable(endpoint) {
             let expired = idle.since.elapsed() >= self.limits.idle_timeout;
-            if !expired && idle.channel.sender.is_ready() && !is_stale(&idle.channel.stream) {
+            if !expired && idle.channel.sender.is_ready() && !is_closed_or_has_input(&idle.channel.stream) {
                 return Ok(idle.channel);
             }
         }
--- a/src/net/serve.rs
+++ b/src/net/serve.rs
@@ -23,8 +23,9 @@
 use tokio::sync::watch;
 use tokio::time::MissedTickBehavior;
 
-/// Maximum time a client may leave a response unread before the connection is closed.
-const CLIENT_READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum time that data for a client may stay unacknowledged, or unsent because the client does not read,
+/// before the kernel closes the connection.
+const CLIENT_TCP_USER_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval at which connections are checked for timeouts.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval at which a connection that is to close is checked for a request that arrived at the same moment.
@@ -187,10 +188,11 @@
     let connection = registration.connection.clone();
     // A client that has vanished or no longer reads must not hold its connection and stream forever.
     let configured = connection.stream.set_nodelay(true);
-    let configured = configured
-        .and_then(|()| SockRef::from(&*connection.stream).set_tcp_user_timeout(Some(CLIENT_READ_TIMEOUT)));
+    let configured = configured.and_then(|()| {
+        SockRef::from(&*connection.stream).set_tcp_user_timeout(Some(CLIENT_TCP_USER_TIMEOUT))
+    });
     if let Err(error) = configured {
-        log::debug!("connection {error}");
+        log::debug!("socket options not set: {error}");
     }
     let service = service_fn(|request| {
         let (front, framing) = (front.clone(), connection.next_framing());
--- a/src/net/transport.rs
+++ b/src/net/transport.rs
@@ -84,7 +84,7 @@
 
 /// Returns true if the connection is closed or broken, or if received bytes are unread. On an
 /// idle connection to an engine such bytes are unsolicited, and the connection must not be reused.
-pub(super) fn is_stale(stream: &TcpStream) -> bool {
+pub(super) fn is_closed_or_has_input(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     loop {
         match socket2::SockRef::from(stream).peek(&mut byte) {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    fn drop_endpoint(&self, _: &str) {}
+    fn close_idle_connections(&self, _: &str) {}
 }
 
 fn listed_engine(number: u32, kind: usize, endpoint: &str, condition: Condition) -> ListedEngine {
