--- a/src/gateway/figures.rs
+++ b/src/gateway/figures.rs
@@ -1,66 +1,72 @@
-//! What the core counts from its start, for those who run the gateway.
+//! Statistics that the core collects from its start, for operators.
 
 use std::cell::{Cell, RefCell};
 
-/// How a request ended.
+/// The result of a request. A request that its client abandoned has none; only the log counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// Served to its end.
+pub enum RequestResult {
+    /// The complete answer was served.
     Served,
-    /// Refused: nothing has run that must not run twice.
+    /// Refused: a retry is harmless.
     Refused,
-    /// Failed, or broken off after it had begun.
+    /// Failed, invalid according to the engine, or broken off by the gateway or the engine before the answer
+    /// was complete.
     Failed,
 }
 
-/// Requests of one class by how they ended.
+/// Numbers of requests of one class, by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Handled {
-    /// Served to their end.
+pub struct RequestCounts {
+    /// Requests with a complete answer.
     pub served: u64,
-    /// Refused.
+    /// Refused requests.
     pub refused: u64,
-    /// Failed.
+    /// Failed requests.
     pub failed: u64,
 }
 
-/// The figures as they stand.
+/// A snapshot of the statistics.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
-    /// By class.
-    pub handled: Vec<Handled>,
-    /// Requests that were taken and have not ended.
-    pub open: usize,
-    /// Engines in the list.
-    pub listed: usize,
-    /// Those among them that are avoided now, by an operator's word or by the module's choice.
-    pub avoided: usize,
+pub struct Statistics {
+    /// Numbers of requests, by class.
+    pub requests_by_class: Vec<RequestCounts>,
+    /// Number of requests that were accepted and have not ended.
+    pub open_requests: usize,
+    /// Number of engines in the roster.
+    pub listed_engines: usize,
+    /// Number of listed engines that an operator withholds or the decision module avoids. Such an engine
+    /// gets no ordinary work.
+    pub avoided_engines: usize,
 }
 
-/// Counts as things happen.
+/// The statistics while they are collected.
 #[derive(Debug, Default)]
-pub(super) struct Counter {
-    handled: RefCell<Vec<Handled>>,
-    /// Listed engines that the module avoids, as of its last look.
-    pub(super) avoided: Cell<usize>,
+pub(super) struct LiveStatistics {
+    requests_by_class: RefCell<Vec<RequestCounts>>,
+    /// Number of listed engines that the decision module avoids, as of the last check.
+    pub(super) avoided_engines: Cell<usize>,
 }
 
-impl Counter {
-    pub(super) fn new(classes: usize) -> Self {
-        Self { handled: RefCell::new(vec![Handled::default(); classes]), avoided: Cell::new(0) }
+impl LiveStatistics {
+    pub(super) fn new(class_count: usize) -> Self {
+        Self {
+            requests_by_class: RefCell::new(vec![RequestCounts::default(); class_count]),
+            avoided_engines: Cell::new(0),
+        }
     }
 
-    pub(super) fn count(&self, class: usize, fate: Fate) {
-        let mut handled = self.handled.borrow_mut();
-        let Some(handled) = handled.get_mut(class) else { return };
-        match fate {
-            Fate::Served => handled.served += 1,
-            Fate::Refused => handled.refused += 1,
-            Fate::Failed => handled.failed += 1,
+    /// Counts the result of a request.
+    pub(super) fn count_result(&self, class: usize, result: RequestResult) {
+        let mut counts_by_class = self.requests_by_class.borrow_mut();
+        let Some(counts) = counts_by_class.get_mut(class) else { return };
+        match result {
+            RequestResult::Served => counts.served += 1,
+            RequestResult::Refused => counts.refused += 1,
+            RequestResult::Failed => counts.failed += 1,
         }
     }
 
-    pub(super) fn handled(&self) -> Vec<Handled> {
-        self.handled.borrow().clone()
+    pub(super) fn requests_by_class(&self) -> Vec<RequestCounts> {
+        self.requests_by_class.borrow().clone()
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets: connections to engines, discovery's watch, the server side, and signals.
+//! Networking: connections to engines, the discovery client, the server side, and signals.
 
 mod accept;
 mod backoff;
@@ -16,12 +16,12 @@
 mod signals;
 mod transport;
 
-pub use backoff::Asking;
+pub use backoff::DiscoveryCallParams;
 pub use closing::{CloseReason, ClosedConnection};
 pub use discovery::Watch;
-pub use engines::{HttpEngines, HttpEvents, Job, Manner};
+pub use engines::{HttpEngines, HttpEvents, Job, Processing};
 pub use eviction::ServeLimits;
-pub use inherited::inherited;
+pub use inherited::inherited_listener;
 pub use listen::bind;
 pub use pool::{Pool, PoolLimits};
 pub use serve::{Front, FrontBody, Phase, serve};
